--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -263,48 +263,6 @@
 	}
 }
 
-// BenchmarkReports takes in reports of busy machines: a second's worth of core work
-// must not grow faster than the fleet. Compare the sizes as ratios.
-func BenchmarkReports(b *testing.B) {
-	for _, machines := range []int{100, 800, 4000} {
-		b.Run(fmt.Sprint(machines), func(b *testing.B) {
-			w := newSimulation(1, standardConfig())
-			w.run(5 * time.Second)
-			n := w.owner()
-			c, term := n.core, n.core.active["small"]
-			for i := 0; i < 150; i++ {
-				raw, err := wire.Encode(&wire.Job{ID: fmt.Sprintf("job-%d", i), Team: "blue", Tasks: machines / 10, CPUs: 1, MemoryGB: 1, Types: []string{"small"}, Spot: true, EstimateS: 30})
-				if err != nil {
-					b.Fatal(err)
-				}
-				id := fmt.Sprintf("job-%d", i)
-				c.store.Mirror.Put(statestore.Root+"o/"+id, raw, uint64(1000+i))
-			}
-			seq := make([]uint64, machines)
-			report := func(i int) {
-				seq[i]++
-				r := &wire.Report{Machine: fmt.Sprintf("i-%d", i), Type: "small", Zone: "a", Session: 1, Seq: seq[i], Token: term}
-				if h := c.loads[r.Machine]; h != nil {
-					for id, p := range h.tasks {
-						r.Tasks = append(r.Tasks, wire.TaskReport{Task: id, Attempt: p.job.Assigned[p.task].Attempt, State: wire.TaskRunning})
-					}
-				}
-				c.Step(n.clock(), Checkin{Report: r})
-			}
-			for round := 0; round < 3; round++ {
-				for i := range seq {
-					report(i)
-				}
-				w.run(w.now + time.Second)
-			}
-			b.ResetTimer()
-			for k := 0; k < b.N; k++ {
-				report(k % machines)
-			}
-		})
-	}
-}
-
 // TestKnownJobIsNotJudgedAgain: a job that an earlier version accepted without a field
 // that this one demands is not refused when its user repeats the submission, whether this node
 // knows the job or only the state service does. A job that nobody knows is refused, once the
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -46,6 +46,10 @@
 	keepAliveLimit  int64 // above this many connections users' are not kept open
 	connectionLimit int64 // above this many connections new ones are closed
 	ctx             context.Context
+	resources       *resourceMonitor
+	nextResourceAt  time.Duration
+	// Counters tell how often the process came near its budgets.
+	Counters ResourceCounters
 }
 
 // NewServer prepares a controller process.
@@ -64,9 +68,15 @@
 		s.peers[p.Label] = &peer{addr: p.Addr}
 	}
 	s.core = NewCore(set, ops, s.now(), rand.Uint64()>>1|1)
+	s.resources = newResourceMonitor(s.heapLimit(), int64(set.Cluster.Resources.MaxSockets), &s.Counters)
 	return s
 }
 
+// heapLimit is how many bytes the Go heap may take of the memory that the settings give.
+func (s *Server) heapLimit() uint64 {
+	return uint64(s.set.Cluster.Resources.RAMMB * (1 << 20) * limits.MemoryUse)
+}
+
 // idle is for how long a connection to this node may be without a request. Guards
 // against sockets used up by workers that left theirs behind in a cut and came back
 // on new ones, several times over.
@@ -83,7 +93,17 @@
 // runs at a time there, and memory is scarce.
 func (s *Server) FitMachine() {
 	runtime.GOMAXPROCS(1)
-	debug.SetMemoryLimit(int64(s.set.Cluster.Resources.RAMMB * (1 << 20) * limits.MemoryUse))
+	debug.SetMemoryLimit(int64(s.heapLimit()))
+}
+
+// checkResources reads what the process holds, now and then, and warns near a budget.
+func (s *Server) checkResources() {
+	now := s.now().Steady
+	if now < s.nextResourceAt {
+		return
+	}
+	s.nextResourceAt = now + limits.ResourceCheckInterval
+	s.resources.check(now, s.resources.read(s.conns.Load()), s.log)
 }
 
 // Run serves until the context ends or a socket fails.
@@ -119,6 +139,7 @@
 			continue
 		case <-tick.C:
 			s.handle(inboxEvent{in: Tick{}})
+			s.checkResources()
 			continue
 		default:
 		}
@@ -132,6 +153,7 @@
 			s.handle(e)
 		case <-tick.C:
 			s.handle(inboxEvent{in: Tick{}})
+			s.checkResources()
 		case e := <-s.questions:
 			// A question whose user has stopped waiting costs no further work.
 			if e.ctx.Err() == nil {
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -433,4 +433,13 @@
 	IdleReports = 2.5
 	// ClientIdle closes this node's own idle connections.
 	ClientIdle = 90 * time.Second
+	// ResourceCheckInterval is how often a controller reads its heap, goroutines and
+	// connections: reading the runtime's metrics costs microseconds.
+	ResourceCheckInterval = time.Second
+	// ResourceLogInterval is how often what a controller holds is logged at info.
+	ResourceLogInterval = 30 * time.Second
+	// BudgetWarning is the part of the heap limit or of max_sockets from which a
+	// controller warns: above 60% of max_sockets users' connections are already not
+	// kept open, and at the heap limit the garbage collector runs far more often.
+	BudgetWarning = 0.85
 )
