--- a/internal/controller/resources.go
+++ b/internal/controller/resources.go
@@ -11,7 +11,7 @@
 
 // Names of the runtime's metrics that a resource check reads.
 const (
-	metricHeap       = "/memory/classes/heap/objects:bytes"
+	metricHeap       = "/gc/heap/live:bytes"
 	metricGoroutines = "/sched/goroutines:goroutines"
 	metricGCCPU      = "/cpu/classes/gc/total:cpu-seconds"
 	metricAllCPU     = "/cpu/classes/total:cpu-seconds"
@@ -20,7 +20,7 @@
 
 // ResourceUse is what a controller holds of its budget at one moment.
 type ResourceUse struct {
-	HeapBytes   uint64  // bytes of live and not yet swept heap objects
+	HeapBytes   uint64  // bytes of heap objects that the last garbage collection found live
 	Goroutines  uint64  // goroutines of the process
 	Connections int64   // open connections on the API port
 	GCShare     float64 // part of the processor time used since the last check that the garbage collector took
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -90,10 +90,12 @@
 }
 
 // FitMachine fits the process to the machine that the settings tell of: one thread
-// runs at a time there, and memory is scarce.
+// runs at a time there, and memory is scarce: the heap is bounded by the
+// settings, and collections are rarer than by default while it is far below that.
 func (s *Server) FitMachine() {
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(int64(s.heapLimit()))
+	debug.SetGCPercent(limits.GCPercent)
 }
 
 // checkResources reads what the process holds, now and then, and warns near a budget.
