--- a/internal/controller/resources.go
+++ b/internal/controller/resources.go
@@ -102,7 +102,8 @@
 	}
 	r.nextLog = now + limits.ResourceLogInterval
 	log.Info("resources", "heapMB", megabytes(use.HeapBytes), "heapLimitMB", megabytes(r.heapLimit), "gcShare", use.GCShare,
-		"goroutines", use.Goroutines, "connections", use.Connections, "maxSockets", r.socketLimit)
+		"goroutines", use.Goroutines, "connections", use.Connections, "maxSockets", r.socketLimit,
+		"nearMemoryChecks", r.counters.NearMemory.Load(), "nearSocketChecks", r.counters.NearSockets.Load())
 }
 
 // megabytes converts bytes to MB, rounded to a tenth.
--- a/internal/controller/resources_test.go
+++ b/internal/controller/resources_test.go
@@ -3,11 +3,17 @@
 import (
 	"bytes"
 	"log/slog"
+	"net/http/httptest"
+	"runtime"
+	"runtime/debug"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
 
 	"umberpaddle/internal/config"
+	"umberpaddle/internal/limits"
+	"umberpaddle/internal/wire"
 )
 
 // TestNearBudgetsAreWarnedOfOnce: a controller whose heap or connections come near
@@ -55,6 +61,7 @@
 		t.Errorf("heap limit %d, want %d", got, want)
 	}
 	r := newResourceMonitor(s.heapLimit(), 900, &ResourceCounters{})
+	runtime.GC() // the live heap is what the last collection found
 	use := r.read(42)
 	if use.HeapBytes == 0 || use.Goroutines == 0 || use.Connections != 42 {
 		t.Errorf("reading %+v", use)
@@ -63,3 +70,46 @@
 		t.Errorf("share of the garbage collector %v", use.GCShare)
 	}
 }
+
+// TestFitMachineBoundsTheHeap: a controller bounds its heap by the memory that the
+// settings give and collects less often than Go's default below that bound. Guards
+// against a process that grows past its machine's memory, or that ignores ram_mb.
+func TestFitMachineBoundsTheHeap(t *testing.T) {
+	limitBefore, percentBefore := debug.SetMemoryLimit(-1), debug.SetGCPercent(-1)
+	debug.SetGCPercent(percentBefore)
+	procsBefore := runtime.GOMAXPROCS(0)
+	defer func() {
+		debug.SetMemoryLimit(limitBefore)
+		debug.SetGCPercent(percentBefore)
+		runtime.GOMAXPROCS(procsBefore)
+	}()
+	set := &config.Settings{}
+	set.Cluster.Resources.RAMMB = 65
+	s := &Server{set: set}
+	s.FitMachine()
+	if got, want := debug.SetMemoryLimit(-1), int64(65*(1<<20)*limits.MemoryUse); got != want {
+		t.Errorf("memory limit %d bytes, want %d", got, want)
+	}
+	if got := debug.SetGCPercent(percentBefore); got != limits.GCPercent {
+		t.Errorf("GC percent %d, want %d", got, limits.GCPercent)
+	}
+}
+
+// TestOverloadIsAnsweredWithATimeToComeBack: a user whose request the event loop
+// could not take in time is told 503 with Retry-After, never left without an
+// answer. Guards against an overloaded controller that drops requests silently.
+func TestOverloadIsAnsweredWithATimeToComeBack(t *testing.T) {
+	s := &Server{}
+	w := httptest.NewRecorder()
+	s.answerUser(w, Answer{}, false)
+	if w.Code != 503 {
+		t.Errorf("status %d, want 503", w.Code)
+	}
+	if got := w.Header().Get("Retry-After"); got != strconv.Itoa(limits.RetryAfterS) {
+		t.Errorf("Retry-After %q, want %d", got, limits.RetryAfterS)
+	}
+	var body wire.ErrorBody
+	if err := wire.Decode(w.Body.Bytes(), &body); err != nil || body.Error == "" {
+		t.Errorf("body %q: %v", w.Body.Bytes(), err)
+	}
+}
