--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -418,10 +418,10 @@
 	// MemoryUse is the part of ram_mb that the Go heap may take.
 	MemoryUse = 0.7
 	// GCPercent is the garbage collector's target, in percent of the live heap, that
-	// the heap may grow by before the next collection. The live heap of an owner of
-	// 1,000 machines is some 10 MB, a tenth of the heap limit on the smallest
-	// machines, so collections may be four times rarer than Go's default of 100; the
-	// heap limit (MemoryUse) makes them more frequent when the heap nears it.
+	// the heap may grow by before the next collection. An owner of 781 machines held a
+	// live heap of at most 9.9 MB, an eighth of its heap limit on 114 MB, so
+	// collections may be four times rarer than Go's default of 100; the heap limit
+	// (MemoryUse) makes them more frequent when the heap nears it.
 	GCPercent = 400
 	// PeerCalls bounds the calls that wait for one peer.
 	PeerCalls = 4
