--- a/internal/controller/process_cluster_test.go
+++ b/internal/controller/process_cluster_test.go
@@ -30,6 +30,10 @@
 	start time.Time
 	// exchanges are all requests of users, with their answers.
 	exchanges []*history.Exchange
+	// transport carries the workers' and users' requests; nil: Go's default, which keeps few
+	// connections.
+	transport http.RoundTripper
+	reports   atomic.Int64 // reports that workers sent
 }
 
 func (r *liveSimulation) pump(stop chan struct{}) {
@@ -76,12 +80,13 @@
 
 // remote makes a node of the world stand for a real process.
 func (r *liveSimulation) remote(label, addr string) func(in Input, answer func(int, []byte)) {
-	client := &http.Client{Timeout: 5 * time.Second}
+	client := &http.Client{Timeout: 5 * time.Second, Transport: r.transport}
 	return func(in Input, answer func(int, []byte)) {
 		method, path, body := "POST", "", []byte(nil)
 		switch x := in.(type) {
 		case Checkin:
 			path, body = "/checkin", pack(x.Report)
+			r.reports.Add(1)
 		case Submit:
 			path, body = "/work", x.Body
 		case Query:
@@ -157,14 +162,14 @@
 // processCluster runs controllers as real processes on loopback against the stand-ins for
 // the state service, the cloud, the workers and the users.
 type processCluster struct {
-	t         *testing.T
+	t         testing.TB
 	world     *liveSimulation
 	processes []*controllerProcess
 	users     http.Client
 }
 
 // buildPresentVersion builds the program from the sources under test.
-func buildPresentVersion(t *testing.T) string {
+func buildPresentVersion(t testing.TB) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "umberpaddle")
 	out, err := exec.Command("go", "build", "-o", binary, "umberpaddle/cmd/umberpaddle").CombinedOutput()
@@ -186,9 +191,9 @@
 }
 
 // startProcessCluster starts controllers of one version. They end with the test.
-func startProcessCluster(t *testing.T, cfg simConfig, binary string, size int) *processCluster {
+func startProcessCluster(t testing.TB, cfg simConfig, binary string, size int) *processCluster {
 	t.Helper()
-	r := &liveSimulation{w: newSimulation(1, cfg), start: time.Now()}
+	r := &liveSimulation{w: newSimulation(1, cfg), start: time.Now(), transport: cfg.transport}
 	c := &processCluster{t: t, world: r, users: http.Client{Timeout: 5 * time.Second}}
 	stop := make(chan struct{})
 	t.Cleanup(func() { close(stop) })
--- a/internal/controller/process_links_test.go
+++ b/internal/controller/process_links_test.go
@@ -22,7 +22,7 @@
 }
 
 // listen serves a handler on loopback until the test ends, and returns its address.
-func listen(t *testing.T, h http.Handler) string {
+func listen(t testing.TB, h http.Handler) string {
 	t.Helper()
 	server := httptest.NewServer(h)
 	t.Cleanup(func() {
@@ -33,14 +33,14 @@
 }
 
 // stateAddress is where one controller reaches the state service.
-func (r *liveSimulation) stateAddress(t *testing.T, node int, label string) string {
+func (r *liveSimulation) stateAddress(t testing.TB, node int, label string) string {
 	return listen(t, r.linkedHandler(label, "state", func(method, path string, body []byte, answer func(int, []byte)) {
 		r.w.store.serveHeld(node, method, path, body, answer)
 	}))
 }
 
 // cloudAddress is where one controller reaches the cloud.
-func (r *liveSimulation) cloudAddress(t *testing.T, label string) string {
+func (r *liveSimulation) cloudAddress(t testing.TB, label string) string {
 	return listen(t, r.linkedHandler(label, "cloud", func(method, path string, body []byte, answer func(int, []byte)) {
 		answer(r.w.cloud.serve(method, path, body))
 	}))
@@ -48,7 +48,7 @@
 
 // workerAddress is where all controllers reach a worker directly. An order may be carried out
 // late, without an answer, or once more.
-func (r *liveSimulation) workerAddress(t *testing.T, m *simMachine) string {
+func (r *liveSimulation) workerAddress(t testing.TB, m *simMachine) string {
 	return listen(t, r.linkedHandler("orders", m.id, func(_, _ string, body []byte, answer func(int, []byte)) {
 		w := r.w
 		unheard := func() { m.when(func() { m.orders(body, func(int, []byte) {}) }) }
@@ -65,7 +65,7 @@
 
 // proxyPeer forwards the connections of one controller to another's peer address. What is on
 // its way in a direction that is cut waits until the cut is over.
-func (r *liveSimulation) proxyPeer(t *testing.T, from, to, target string) string {
+func (r *liveSimulation) proxyPeer(t testing.TB, from, to, target string) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
+	"net/http"
 	"slices"
 	"time"
 
@@ -71,9 +72,10 @@
 	txnOps                int
 	valueKB               float64
 	writeRPS              float64
-	rps, cloudRPS         float64 // 0: 150 and 3
-	links                 bool    // controllers keep a view of their links
-	operatorFile          string  // operators' settings of real processes; empty: none
+	rps, cloudRPS         float64           // 0: 150 and 3
+	links                 bool              // controllers keep a view of their links
+	operatorFile          string            // operators' settings of real processes; empty: none
+	transport             http.RoundTripper // carries requests to real processes; nil: Go's default
 }
 
 type ev struct {
