--- a/internal/controller/direct.go
+++ b/internal/controller/direct.go
@@ -2,6 +2,7 @@
 
 import (
 	"log/slog"
+	"slices"
 	"time"
 
 	"umberpaddle/internal/jobs"
@@ -40,42 +41,59 @@
 	probe    bool     // without commands: what does the machine run?
 }
 
-// sendDirectLaunches tells machines at once what was planned for them. Unlike an answer
-// to a report, an order may be executed at any later time while token and session
-// match. So until it is answered, a report without its attempts proves nothing,
+// sendDirectLaunches tells machines at once what was planned for them, so many at a time as
+// limits.DirectInFlight allows; the others wait for the answers of these, or for their own next
+// reports. Unlike an answer to a report, an order may be executed at any later time while token
+// and session match. So until it is answered, a report without its attempts proves nothing,
 // and one that is never answered counts as possible for the whole session.
 func (c *Core) sendDirectLaunches() {
-	t := c.now.Steady
+	sent := 0
 	for _, id := range c.plannedMachines {
-		m, h := c.pool.Machines[id], c.loads[id]
-		if m == nil || h == nil || h.planned == 0 || m.DirectInFlight || m.Address == "" || len(c.directCalls)-c.probesInFlight >= limits.DirectInFlight ||
-			!m.Usable(t, c.pool.Report) || !c.machineRecords[id].Up || t-m.LastReport > c.pool.Report+limits.DirectSlack {
-			continue
+		if len(c.directCalls)-c.probesInFlight >= limits.DirectInFlight {
+			break
 		}
-		o := &directCall{machine: id, session: m.Session, term: m.Term}
-		var cmds []wire.Command
-		for _, task := range h.plannedTaskIDs() {
-			p := h.tasks[task]
-			if len(cmds) >= limits.MaxCommands || p.job.Cancelled {
-				continue // goes, or is taken back, with the next report
-			}
-			pl := p.job.Assigned[p.task]
-			pl.State, pl.Delivery, pl.Session = jobs.Sent, jobs.DirectPending, m.Session
-			c.assign(p.job, p.task, pl)
-			o.tasks = append(o.tasks, p)
-			o.attempts = append(o.attempts, pl.Attempt)
-			m.Orders[pl.Attempt] = &workers.Order{Task: task, SentAt: t}
-			cmds = append(cmds, wire.Command{Verb: wire.VerbLaunch, Task: task, Attempt: pl.Attempt})
+		sent++
+		if m, load := c.pool.Machines[id], c.loads[id]; c.mayOrderDirectly(m, load) {
+			c.sendLaunches(m, load)
 		}
-		if len(cmds) == 0 {
-			continue
+	}
+	c.plannedMachines = slices.Delete(c.plannedMachines, 0, sent)
+}
+
+// mayOrderDirectly tells whether what is planned for a machine may be sent straight to it.
+func (c *Core) mayOrderDirectly(m *workers.Machine, load *machineLoad) bool {
+	if m == nil || load == nil || load.planned == 0 || m.DirectInFlight || m.Address == "" {
+		return false
+	}
+	silent := c.now.Steady - m.LastReport
+	return silent <= c.pool.Report+limits.DirectSlack && m.Usable(c.now.Steady, c.pool.Report) && c.machineRecords[m.ID].Up
+}
+
+// sendLaunches sends a machine an order with the launches that are planned for it.
+func (c *Core) sendLaunches(m *workers.Machine, load *machineLoad) {
+	call := &directCall{machine: m.ID, session: m.Session, term: m.Term}
+	var commands []wire.Command
+	for _, task := range load.plannedTaskIDs() {
+		ref := load.tasks[task]
+		if len(commands) >= limits.MaxCommands || ref.job.Cancelled {
+			continue // goes, or is taken back, with the next report
 		}
-		m.DirectInFlight = true
-		c.lastDirectCall++
-		c.directCalls[c.lastDirectCall] = o
-		c.out = append(c.out, DirectCall{ID: c.lastDirectCall, Address: m.Address, Body: wire.Orders{Token: m.Term, Session: m.Session, Commands: cmds}, Until: c.ownership.ActUntil()})
+		assignment := ref.job.Assigned[ref.task]
+		assignment.State, assignment.Delivery, assignment.Session = jobs.Sent, jobs.DirectPending, m.Session
+		c.assign(ref.job, ref.task, assignment)
+		call.tasks = append(call.tasks, ref)
+		call.attempts = append(call.attempts, assignment.Attempt)
+		m.Orders[assignment.Attempt] = &workers.Order{Task: task, SentAt: c.now.Steady}
+		commands = append(commands, wire.Command{Verb: wire.VerbLaunch, Task: task, Attempt: assignment.Attempt})
+	}
+	if len(commands) == 0 {
+		return
 	}
-	c.plannedMachines = c.plannedMachines[:0]
+	m.DirectInFlight = true
+	c.lastDirectCall++
+	c.directCalls[c.lastDirectCall] = call
+	orders := wire.Orders{Token: m.Term, Session: m.Session, Commands: commands}
+	c.out = append(c.out, DirectCall{ID: c.lastDirectCall, Address: m.Address, Body: orders, Until: c.ownership.ActUntil()})
 }
 
 // directReplied takes in what came of an order.
@@ -99,6 +117,12 @@
 	default:
 		c.launchesReplied(m, o, x)
 	}
+	if load := c.loads[o.machine]; m != nil && load != nil && load.planned > 0 {
+		c.plannedMachines = append(c.plannedMachines, m.ID) // planned while the order was under way
+	}
+	if c.ownership.MayLaunch() {
+		c.sendDirectLaunches()
+	}
 }
 
 // launchesReplied takes in what came of an order that launches tasks.
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -318,8 +318,9 @@
 	// UsageLogInterval is how often the use of CPUs is logged.
 	UsageLogInterval = 5 * time.Second
 	// DirectInFlight bounds the orders sent straight to workers at one time, and
-	// with them sockets; a machine has one at a time.
-	DirectInFlight = 48
+	// with them sockets; a machine has one at a time. More at once only make each wait for the
+	// others on a small share of a core; fewer would wait for machines that do not answer.
+	DirectInFlight = 24
 	// OrderConnections is the part of max_sockets that idle connections to workers may take: an
 	// order on a kept connection costs 76 us of processor time, on a new one 198 us. Machines in
 	// use get one every half minute or so.
