--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -97,6 +97,8 @@
 	savingTypes     bool
 	recordRequested map[string]bool // machines whose record as up was requested
 	nextRecordScan  time.Duration
+	fleetChanged    bool // machines came, went, or were recorded since the last scan of the fleet
+	nextFleetScan   time.Duration
 	resolving       map[string]bool // classes taken over with machines still unresolved
 }
 
@@ -194,6 +196,7 @@
 		return c.flush()
 	case CloudReply:
 		c.fleet.Reply(t, x.ID, x.Status, x.Body)
+		c.fleetChanged = true
 	case PeerReply:
 		c.peerReplied(x)
 	case PeerRequest:
@@ -212,7 +215,7 @@
 	c.links.stoodStill(t - c.now.Steady)
 	c.lastArrival, c.lastReport = t, t
 	c.reportsResumedAt, c.lastNewMachine = t, t
-	c.nextMachineCheck, c.nextFleetPlan = t+limits.TickInterval, t+limits.PlanInterval
+	c.nextMachineCheck, c.nextFleetPlan = t+limits.MachineCheckInterval, t+limits.PlanInterval
 }
 
 func (c *Core) flush() []Output {
--- a/internal/controller/direct.go
+++ b/internal/controller/direct.go
@@ -227,7 +227,7 @@
 	}
 	c.recordReport(m, found)
 	c.log(slog.LevelDebug, "silent machine answered", "machine", m.ID, "session", r.Session, "tasks", len(r.Tasks))
-	c.dirty = true
+	c.dirty, c.fleetChanged = true, true
 	c.jobsChanged = c.jobsChanged || !resolved
 	c.reconcile(m, nil, true)
 }
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -35,6 +35,7 @@
 
 // applyMachineRecord follows the records of machines.
 func (c *Core) applyMachineRecord(id, class string, value msgpack.RawMessage, gone bool) {
+	c.fleetChanged = true
 	var e machineRecord
 	switch {
 	case gone:
@@ -66,16 +67,25 @@
 		return
 	}
 	c.nextRecordScan = c.now.Steady + limits.ScanInterval
-	c.recordMachinesUp()
-	c.recordMachinesBooting()
+	if c.fleetChanged || c.now.Steady >= c.nextFleetScan {
+		c.fleetChanged = false
+		c.nextFleetScan = c.now.Steady + limits.FleetScanInterval
+		c.recordMachinesUp()
+		c.recordMachinesBooting()
+		c.removeGoneMachines()
+	}
+	c.machineTable.Write()
+	c.writeTypes()
+}
+
+// removeGoneMachines drops the records of machines that the cloud has deleted.
+func (c *Core) removeGoneMachines() {
 	for id, record := range c.machineRecords {
 		if _, ours := c.active[record.Class]; ours && c.fleet.IsGone(id) {
 			delete(c.recordRequested, id)
 			c.machineTable.Remove(id, limits.PageDelay)
 		}
 	}
-	c.machineTable.Write()
-	c.writeTypes()
 }
 
 // newMachineRecord is the record of a machine that was rented at since.
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -17,7 +17,7 @@
 	if len(c.active) == 0 || t < c.nextMachineCheck {
 		return
 	}
-	c.nextMachineCheck = t + limits.TickInterval
+	c.nextMachineCheck = t + limits.MachineCheckInterval
 	heard := time.Duration(0)
 	for _, m := range c.pool.Machines {
 		heard = max(heard, m.LastReport)
--- a/internal/controller/owned_classes.go
+++ b/internal/controller/owned_classes.go
@@ -63,6 +63,7 @@
 			c.machineTable.Forget(class)
 			c.jobs.DropPending(class)
 			clear(c.recordRequested)
+			c.fleetChanged = true
 		}
 	}
 	for _, class := range slices.Sorted(maps.Keys(claims)) {
@@ -72,7 +73,7 @@
 		}
 		c.active[class] = cl.Term
 		c.resolving[class] = true
-		c.dirty, c.jobsChanged = true, true
+		c.dirty, c.jobsChanged, c.fleetChanged = true, true, true
 		c.toldCounts = nil
 		for id, e := range c.machineRecords {
 			if e.Class == class {
@@ -168,5 +169,5 @@
 func (c *Core) machineGone(id string) {
 	c.clearMachine(id)
 	c.pool.Drop(id)
-	c.dirty, c.jobsChanged = true, true
+	c.dirty, c.jobsChanged, c.fleetChanged = true, true, true
 }
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -54,7 +54,9 @@
 	if proved == workers.Stale || proved == workers.Deposed {
 		return m, proved
 	}
-	c.jobsChanged = c.jobsChanged || m.Adopted != adopted
+	if m.Adopted != adopted {
+		c.jobsChanged, c.fleetChanged = true, true
+	}
 	c.recordReport(m, found)
 	c.links.workerHeard(r.Type, r.Zone, c.pool.Report, c.now.Steady)
 	if m.Recall != 0 && !recalled && m.Spot {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -85,20 +85,22 @@
 	losses, hours float64
 	riskAt        time.Duration
 
-	Types        map[string]*wire.MachineType
-	Rentals      map[string]*Rental
-	backoff      map[Kind]time.Duration
-	renting      map[Kind]int
-	unconfirmed  map[string]*rentalRequest // by name: requests without an answer are repeated
-	typesAt      time.Duration
-	readingTypes bool
-	listAt       time.Duration
-	listing      bool
-	Listed       bool // a whole list has been read since we began
-	pages        map[string]wire.ListedMachine
-	listFrom     time.Duration
-	OnGone       func(id string) // a machine is certainly gone
-	deletedAt    map[string]time.Duration
+	Types   map[string]*wire.MachineType
+	Rentals map[string]*Rental
+	// deletionsWait: there may be rentals to be deleted that the cloud was not asked for yet.
+	deletionsWait bool
+	backoff       map[Kind]time.Duration
+	renting       map[Kind]int
+	unconfirmed   map[string]*rentalRequest // by name: requests without an answer are repeated
+	typesAt       time.Duration
+	readingTypes  bool
+	listAt        time.Duration
+	listing       bool
+	Listed        bool // a whole list has been read since we began
+	pages         map[string]wire.ListedMachine
+	listFrom      time.Duration
+	OnGone        func(id string) // a machine is certainly gone
+	deletedAt     map[string]time.Duration
 }
 
 type rentalRequest struct {
@@ -212,11 +214,12 @@
 		return
 	}
 	r.Deleted = true
+	f.deletionsWait = true
 	f.logf(slog.LevelInfo, "machine returned", "machine", id, "why", why)
 }
 
 func (f *Manager) deleteMarked() {
-	if !f.mayCall() {
+	if !f.deletionsWait || !f.mayCall() {
 		return
 	}
 	var names []string
@@ -225,6 +228,7 @@
 			names = append(names, id)
 		}
 	}
+	f.deletionsWait = len(names) > limits.DeleteMost
 	if len(names) == 0 {
 		return
 	}
@@ -242,6 +246,8 @@
 			r.asking = false
 			if status == 200 {
 				f.forget(id)
+			} else {
+				f.deletionsWait = true
 			}
 		}
 	})
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -142,6 +142,14 @@
 	// ScanInterval is how often an owner looks through its jobs for what is to be
 	// written: at every event it would take most of a small processor share.
 	ScanInterval = 50 * time.Millisecond
+	// FleetScanInterval is how often an owner looks through its machines for records to be
+	// written when nothing has told it of a change: what it can't be told of is a record that
+	// was refused.
+	FleetScanInterval = time.Second
+	// MachineCheckInterval is how often an owner looks through its machines for those that are
+	// silent, lost or to be returned. What it looks for lasts seconds; ten times a second this
+	// took a twentieth of an owner's processor time.
+	MachineCheckInterval = 250 * time.Millisecond
 	// SortInterval is how long the order of jobs is kept when nothing was submitted
 	// or ended; only the passing of time changes it then.
 	SortInterval = 500 * time.Millisecond
