--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -24,8 +24,11 @@
 // for planning the fleet. unseen is the room of machines whose tasks are unknown.
 func (c *Core) availableMachines(all bool) (machines []*allocation.Machine, capacity map[string]allocation.Resources, unseen allocation.Resources) {
 	capacity = map[string]allocation.Resources{}
-	var ordinary []*allocation.Machine
-	for _, m := range c.pool.Sorted() {
+	sorted := c.pool.Sorted()
+	machines = make([]*allocation.Machine, 0, len(sorted))
+	ordinary := make([]*allocation.Machine, 0, len(sorted))
+	counts := map[*wire.MachineType]float64{}
+	for _, m := range sorted {
 		t := c.fleet.Types[m.Class]
 		if t == nil {
 			continue
@@ -35,7 +38,7 @@
 			unseen = unseen.Add(size(t), 1)
 		}
 		if m.Adopted && !m.Lost {
-			capacity[m.Class] = capacity[m.Class].Add(size(t), 1)
+			counts[t]++
 		}
 		if !m.Usable(c.now.Steady, c.pool.Report) || (!recorded && !all) {
 			continue
@@ -51,6 +54,9 @@
 			ordinary = append(ordinary, view)
 		}
 	}
+	for t, n := range counts {
+		capacity[t.Name] = allocation.Resources{}.Add(size(t), n)
+	}
 	// Cheap machines first, so that the dear ones run empty and can go.
 	return append(machines, ordinary...), capacity, unseen
 }
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -44,8 +44,8 @@
 	peers           map[string]*peer
 	conns           atomic.Int64 // connections that others opened to this node
 	orderConns      atomic.Int64 // connections to workers, for direct orders
-	keepAliveLimit  int64 // above this many connections users' are not kept open
-	connectionLimit int64 // above this many connections new ones are closed
+	keepAliveLimit  int64        // above this many connections users' are not kept open
+	connectionLimit int64        // above this many connections new ones are closed
 	ctx             context.Context
 	resources       *resourceMonitor
 	nextResourceAt  time.Duration
