--- a/internal/controller/http_api.go
+++ b/internal/controller/http_api.go
@@ -43,14 +43,16 @@
 	return mux
 }
 
-// readBody reads a request's body, at most limits.MaxBodyBytes of it, into one
-// buffer of the length that the request declares: reports come hundreds a second,
-// and a buffer grown as it is read costs several allocations for each.
+// readBody reads a request's body, at most limits.MaxBodyBytes of it. A short body
+// is read into one buffer of the length that the request declares: reports come
+// hundreds a second, and a buffer grown as it is read costs several allocations for
+// each. A long one gets its buffer as it arrives: guards against memory taken by
+// requests that declare a length and send nothing.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
 	body := http.MaxBytesReader(w, r.Body, limits.MaxBodyBytes)
 	var b []byte
 	var err error
-	if r.ContentLength >= 0 && r.ContentLength <= limits.MaxBodyBytes {
+	if r.ContentLength >= 0 && r.ContentLength <= limits.DeclaredBodyBytes {
 		b = make([]byte, r.ContentLength)
 		_, err = io.ReadFull(body, b)
 	} else {
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -112,7 +112,10 @@
 	var cancel context.CancelFunc
 	s.ctx, cancel = context.WithCancel(ctx)
 	defer cancel()
-	api, err := net.Listen("tcp4", s.set.APIAddr)
+	// Without keep-alive probes, which cost four system calls for each connection, as workers and
+	// users come back by the hundred after a restart. The server's timeouts end what is dead.
+	listen := net.ListenConfig{KeepAlive: -1}
+	api, err := listen.Listen(s.ctx, "tcp4", s.set.APIAddr)
 	if err != nil {
 		return fmt.Errorf("listen on api_addr: %w", err)
 	}
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -9,6 +9,9 @@
 const (
 	// MaxBodyBytes bounds every request and response body, as the protocol sets.
 	MaxBodyBytes = 64 << 10
+	// DeclaredBodyBytes is up to which declared length a body's buffer is made before it arrives:
+	// a report of some forty tasks.
+	DeclaredBodyBytes = 4 << 10
 	// MaxStoreBodyBytes bounds replies of the state service and the cloud, whose
 	// pages may reach 512 KiB and whose watch answers have no limit of their own.
 	MaxStoreBodyBytes = 8 << 20
