--- a/internal/controller/direct.go
+++ b/internal/controller/direct.go
@@ -22,7 +22,7 @@
 		Body    wire.Orders
 		Until   time.Duration
 	}
-	// DirectReply is the answer to an DirectCall; status 0 is none.
+	// DirectReply is the answer to a DirectCall; status 0 is none.
 	DirectReply struct {
 		ID     uint64
 		Status int
@@ -31,7 +31,7 @@
 	}
 )
 
-// directCall is an DirectCall under way.
+// directCall is a DirectCall under way.
 type directCall struct {
 	machine  string
 	session  uint64
@@ -98,26 +98,26 @@
 
 // directReplied takes in what came of an order.
 func (c *Core) directReplied(x DirectReply) {
-	o := c.directCalls[x.ID]
-	if o == nil {
+	call := c.directCalls[x.ID]
+	if call == nil {
 		return
 	}
 	delete(c.directCalls, x.ID)
-	if o.probe {
+	if call.probe {
 		c.probesInFlight--
 	}
-	m := c.pool.Machines[o.machine]
+	m := c.pool.Machines[call.machine]
 	if m != nil {
 		m.DirectInFlight = false
 	}
 	switch {
 	case m == nil:
-	case o.probe:
-		c.probeReplied(m, o, x)
+	case call.probe:
+		c.probeReplied(m, call, x)
 	default:
-		c.launchesReplied(m, o, x)
+		c.launchesReplied(m, call, x)
 	}
-	if load := c.loads[o.machine]; m != nil && load != nil && load.planned > 0 {
+	if load := c.loads[call.machine]; m != nil && load != nil && load.planned > 0 {
 		c.plannedMachines = append(c.plannedMachines, m.ID) // planned while the order was under way
 	}
 	if c.ownership.MayLaunch() {
@@ -126,26 +126,26 @@
 }
 
 // launchesReplied takes in what came of an order that launches tasks.
-func (c *Core) launchesReplied(m *workers.Machine, o *directCall, x DirectReply) {
-	if m.Term != o.term || m.Session != o.session {
+func (c *Core) launchesReplied(m *workers.Machine, call *directCall, x DirectReply) {
+	if m.Term != call.term || m.Session != call.session {
 		return // the order is void by now, and reconcile has judged its tasks
 	}
 	answered := x.Status == 200 || x.Status == 409 || x.Status == 400
-	for i, p := range o.tasks {
-		pl, ok := p.job.Assigned[p.task]
-		settleOrder(m, o.attempts[i], answered, x.Unsent)
-		if !ok || pl.Attempt != o.attempts[i] || pl.Delivery != jobs.DirectPending {
+	for i, ref := range call.tasks {
+		assignment, ok := ref.job.Assigned[ref.task]
+		settleOrder(m, call.attempts[i], answered, x.Unsent)
+		if !ok || assignment.Attempt != call.attempts[i] || assignment.Delivery != jobs.DirectPending {
 			continue
 		}
 		switch {
 		case x.Unsent:
-			pl.State, pl.Delivery = jobs.Planned, jobs.InReply
+			assignment.State, assignment.Delivery = jobs.Planned, jobs.InReply
 		case answered:
-			pl.Delivery = jobs.DirectConfirmed
+			assignment.Delivery = jobs.DirectConfirmed
 		default:
-			pl.Delivery = jobs.DirectUnknown
+			assignment.Delivery = jobs.DirectUnknown
 		}
-		c.assign(p.job, p.task, pl)
+		c.assign(ref.job, ref.task, assignment)
 	}
 	if x.Status != 200 && x.Status != 409 {
 		return
@@ -207,8 +207,8 @@
 }
 
 // probeReplied takes in what a machine answered that was asked what it runs.
-func (c *Core) probeReplied(m *workers.Machine, o *directCall, x DirectReply) {
-	if c.active[m.Class] != o.term {
+func (c *Core) probeReplied(m *workers.Machine, call *directCall, x DirectReply) {
+	if c.active[m.Class] != call.term {
 		return
 	}
 	r := &wire.Report{}
@@ -216,8 +216,8 @@
 		m.ProbeFailed = true
 		return
 	}
-	resolved, found := m.Resolved(), m.Term == o.term
-	if !c.pool.ReceiveProbe(c.now.Steady, m, r, o.term, o.session) {
+	resolved, found := m.Resolved(), m.Term == call.term
+	if !c.pool.ReceiveProbe(c.now.Steady, m, r, call.term, call.session) {
 		return
 	}
 	// Guards against machines that a new owner returned as never come up, with their
@@ -238,14 +238,17 @@
 	if !m.HasUnansweredOrders() {
 		return cmds
 	}
-	for _, id := range c.loads[m.ID].taskIDs() {
-		p := c.loads[m.ID].tasks[id]
-		if pl := p.job.Assigned[p.task]; pl.Delivery == jobs.DirectUnknown && !p.job.Cancelled && len(cmds) < limits.MaxCommands {
-			cmds = append(cmds, wire.Command{Verb: wire.VerbLaunch, Task: id, Attempt: pl.Attempt})
-			if p.job.Gang && p.job.GangRun.Ending {
-				// Only to be sure that it is gone: the next attempt waits for that.
-				cmds = append(cmds, wire.Command{Verb: wire.VerbStop, Task: id, Attempt: pl.Attempt})
-			}
+	load := c.loads[m.ID]
+	for _, id := range load.taskIDs() {
+		ref := load.tasks[id]
+		assignment := ref.job.Assigned[ref.task]
+		if assignment.Delivery != jobs.DirectUnknown || ref.job.Cancelled || len(cmds) >= limits.MaxCommands {
+			continue
+		}
+		cmds = append(cmds, wire.Command{Verb: wire.VerbLaunch, Task: id, Attempt: assignment.Attempt})
+		if ref.job.Gang && ref.job.GangRun.Ending {
+			// Only to be sure that it is gone: the next attempt waits for that.
+			cmds = append(cmds, wire.Command{Verb: wire.VerbStop, Task: id, Attempt: assignment.Attempt})
 		}
 	}
 	return cmds
--- a/internal/controller/hot_paths_bench_test.go
+++ b/internal/controller/hot_paths_bench_test.go
@@ -2,17 +2,14 @@
 
 import (
 	"bytes"
-	"context"
 	"fmt"
 	"io"
-	"log/slog"
 	"net/http"
 	"runtime"
 	"sync/atomic"
 	"testing"
 	"time"
 
-	"umberpaddle/internal/config"
 	"umberpaddle/internal/statestore"
 	"umberpaddle/internal/wire"
 )
@@ -175,23 +172,9 @@
 // the server's part from a CPU profile (-cpuprofile) rather than from ns/op alone.
 func BenchmarkReportsOverHTTP(b *testing.B) {
 	const connections = 64
-	set := &config.Settings{Label: "a", APIAddr: freeAddr(b), PeerBind: freeAddr(b)}
-	set.External.State, set.External.Cloud = freeAddr(b), freeAddr(b) // nobody there
-	cl := &set.Cluster
-	cl.Teams = []config.Team{{Name: "blue"}}
-	cl.Workers.ReportS, cl.Workers.LeaseS, cl.Workers.CancelS = 3, 14, 34
-	cl.State.RPS, cl.State.WriteRPS, cl.State.TxnOps, cl.State.ValueKB = 150, 20, 8, 4
-	cl.Cloud.RPS = 3
-	cl.Resources.RAMMB, cl.Resources.MaxSockets = 114, 1800
-	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- NewServer(set, &config.Operator{}, slog.New(slog.DiscardHandler)).Run(ctx) }()
-	defer func() {
-		cancel()
-		if err := <-ended; err != nil {
-			b.Errorf("the server ended: %v", err)
-		}
-	}()
+	set := lonelySettings(b)
+	set.Cluster.Resources.RAMMB, set.Cluster.Resources.MaxSockets = 114, 1800
+	runServer(b, set)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: connections, MaxConnsPerHost: connections}}
 	tasks := make([]wire.TaskReport, 8)
 	for i := range tasks {
--- a/internal/controller/renewals.go
+++ b/internal/controller/renewals.go
@@ -45,7 +45,7 @@
 	if err := c.judge.CheckAnswer(question, body.Commands); err != nil {
 		c.renewals.Violations++
 		c.log(slog.LevelError, "renewal withheld: it would leave a cancelled task running", "machine", m.ID, "session", m.Session, "term", m.Term, "error", err)
-		c.out = append(c.out, Answer{Ref: x.Ref, Status: 503})
+		c.refuseReport(x)
 		return
 	}
 	c.countRenewal(m, proved, verdict, question.Listed)
@@ -57,7 +57,7 @@
 func (c *Core) withhold(x Checkin, m *workers.Machine, v authority.Verdict) {
 	c.renewals.Withheld++
 	c.log(slog.LevelInfo, "renewal withheld", "machine", m.ID, "session", m.Session, "term", m.Term, "reason", string(v.Reason), "attempt", v.Cause.String())
-	c.out = append(c.out, Answer{Ref: x.Ref, Status: 503})
+	c.refuseReport(x)
 }
 
 // currentCommands lists what a machine whose list is the truth is told.
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -22,18 +22,21 @@
 	c.lastArrival = c.now.Steady
 	// A deleted machine's late report must not bring it back.
 	if !c.ownership.MayAnswer() || c.fleet.IsGone(r.Machine) || r.Machine == "" {
-		c.out = append(c.out, Answer{Ref: x.Ref, Status: 503})
+		c.refuseReport(x)
 		return
 	}
 	m, proved := c.receive(r, term)
 	if proved == workers.Stale || proved == workers.Deposed {
 		c.log(slog.LevelDebug, "report not taken", "machine", r.Machine, "session", r.Session, "seq", r.Seq, "token", r.Token, "term", term, "why", proved.String())
-		c.out = append(c.out, Answer{Ref: x.Ref, Status: 503})
+		c.refuseReport(x)
 		return
 	}
 	c.renew(x, m, proved)
 }
 
+// refuseReport answers a report with 503: it renews nothing, and the worker tries the next controller.
+func (c *Core) refuseReport(x Checkin) { c.out = append(c.out, Answer{Ref: x.Ref, Status: 503}) }
+
 // redirect answers a report for a class that this node doesn't own.
 func (c *Core) redirect(x Checkin) {
 	c.lastForeignArrival = c.now.Steady
@@ -41,7 +44,7 @@
 		c.out = append(c.out, Answer{Ref: x.Ref, Status: 421, Body: wire.Redirect{Owner: owner}})
 		return
 	}
-	c.out = append(c.out, Answer{Ref: x.Ref, Status: 503})
+	c.refuseReport(x)
 }
 
 // receive takes in a report for a class of ours, and tells what it proves.
@@ -218,20 +221,20 @@
 
 // launchCommands turns the plans for a machine into commands.
 func (c *Core) launchCommands(m *workers.Machine, cmds []wire.Command) []wire.Command {
-	h := c.loads[m.ID]
-	for _, id := range h.plannedTaskIDs() {
-		p := h.tasks[id]
-		pl := p.job.Assigned[p.task]
+	load := c.loads[m.ID]
+	for _, id := range load.plannedTaskIDs() {
+		ref := load.tasks[id]
 		if len(cmds) >= limits.MaxCommands {
 			break
 		}
-		if p.job.Cancelled || !m.Usable(c.now.Steady, c.pool.Report) {
-			c.unassign(p.job, p.task)
+		if ref.job.Cancelled || !m.Usable(c.now.Steady, c.pool.Report) {
+			c.unassign(ref.job, ref.task)
 			continue
 		}
-		pl.State = jobs.Sent
-		c.assign(p.job, p.task, pl)
-		cmds = append(cmds, wire.Command{Verb: wire.VerbLaunch, Task: id, Attempt: pl.Attempt})
+		assignment := ref.job.Assigned[ref.task]
+		assignment.State = jobs.Sent
+		c.assign(ref.job, ref.task, assignment)
+		cmds = append(cmds, wire.Command{Verb: wire.VerbLaunch, Task: id, Attempt: assignment.Attempt})
 	}
 	return cmds
 }
--- a/internal/controller/sockets_test.go
+++ b/internal/controller/sockets_test.go
@@ -9,6 +9,7 @@
 	"net/http"
 	"os"
 	"runtime"
+	"sync"
 	"testing"
 	"time"
 
@@ -16,6 +17,35 @@
 	"umberpaddle/internal/wire"
 )
 
+// lonelySettings are the settings of a controller with no state service, cloud or peers around it.
+func lonelySettings(t testing.TB) *config.Settings {
+	t.Helper()
+	set := &config.Settings{Label: "a", APIAddr: freeAddr(t), PeerBind: freeAddr(t)}
+	set.External.State, set.External.Cloud = freeAddr(t), freeAddr(t)
+	cluster := &set.Cluster
+	cluster.Teams = []config.Team{{Name: "blue"}}
+	cluster.Workers.ReportS, cluster.Workers.LeaseS, cluster.Workers.CancelS = 3, 14, 34
+	cluster.State.RPS, cluster.State.WriteRPS, cluster.State.TxnOps, cluster.State.ValueKB = 100, 50, 8, 4
+	cluster.Cloud.RPS = 2
+	return set
+}
+
+// runServer runs a server until stop is called, or else until the test ends. It must not end by itself.
+func runServer(t testing.TB, set *config.Settings) (stop func()) {
+	t.Helper()
+	ctx, cancel := context.WithCancel(context.Background())
+	ended := make(chan error, 1)
+	go func() { ended <- NewServer(set, &config.Operator{}, slog.New(slog.DiscardHandler)).Run(ctx) }()
+	stop = sync.OnceFunc(func() {
+		cancel()
+		if err := <-ended; err != nil {
+			t.Errorf("the server ended: %v", err)
+		}
+	})
+	t.Cleanup(stop)
+	return stop
+}
+
 // TestThousandsOfKeptConnections: workers keep their connections open between
 // reports. Within the limit of sockets all are answered, with few threads and
 // little memory for each; beyond it new ones are closed at once, and those that
@@ -23,25 +53,11 @@
 func TestThousandsOfKeptConnections(t *testing.T) {
 	const dialled, limit = 2400, 2000
 	play := func(sockets int) (kept, closed int) {
-		set := &config.Settings{Label: "a", APIAddr: freeAddr(t), PeerBind: freeAddr(t)}
-		set.External.State, set.External.Cloud = freeAddr(t), freeAddr(t) // nobody there
-		cl := &set.Cluster
-		cl.Teams = []config.Team{{Name: "blue"}}
-		cl.Workers.ReportS, cl.Workers.LeaseS, cl.Workers.CancelS = 6, 31, 51
-		cl.State.RPS, cl.State.WriteRPS, cl.State.TxnOps, cl.State.ValueKB = 100, 50, 8, 4
-		cl.Cloud.RPS = 2
-		cl.Resources.RAMMB, cl.Resources.MaxSockets = 322, sockets
-		ctx, cancel := context.WithCancel(context.Background())
-		ended := make(chan error, 1)
-		go func() {
-			ended <- NewServer(set, &config.Operator{}, slog.New(slog.DiscardHandler)).Run(ctx)
-		}()
-		defer func() {
-			cancel()
-			if err := <-ended; err != nil {
-				t.Errorf("the server ended: %v", err)
-			}
-		}()
+		set := lonelySettings(t)
+		set.Cluster.Workers.ReportS, set.Cluster.Workers.LeaseS, set.Cluster.Workers.CancelS = 6, 31, 51
+		set.Cluster.Resources.RAMMB, set.Cluster.Resources.MaxSockets = 322, sockets
+		stop := runServer(t, set)
+		defer stop()
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
