--- a/internal/controller/deposed_owner_test.go
+++ b/internal/controller/deposed_owner_test.go
@@ -37,3 +37,43 @@
 		}
 	}
 }
+
+// TestOwnerGoesOnWhenAPeerIsBackInAnOutage: the state service is out for all, and a peer ends and is
+// back within two seconds, or is out of the owner's reach for longer. Neither can have followed the
+// owner meanwhile, which acts again soon after the peer is back.
+func TestOwnerGoesOnWhenAPeerIsBackInAnOutage(t *testing.T) {
+	for name, away := range map[string]struct {
+		length time.Duration
+		play   func(w *simulation, owner, peer *simNode, d time.Duration)
+	}{
+		"ends, back at once":       {100 * time.Millisecond, func(_ *simulation, _, peer *simNode, d time.Duration) { peer.crash(d) }},
+		"ends, back within 1.5 s":  {1500 * time.Millisecond, func(_ *simulation, _, peer *simNode, d time.Duration) { peer.crash(d) }},
+		"stands still":             {6 * s, func(_ *simulation, _, peer *simNode, d time.Duration) { peer.freeze(d) }},
+		"out of the owner's reach": {6 * s, func(w *simulation, owner, peer *simNode, d time.Duration) { w.cutPeers(owner, peer, d) }},
+	} {
+		t.Run(name, func(t *testing.T) {
+			for seed := uint64(1); seed <= 5; seed++ {
+				w := newSimulation(seed, seriesConfig())
+				w.user("job-000001", spec("red", 4, 2, 300), 300)
+				w.run(quiet)
+				owner := w.owner()
+				w.outage(60 * s)
+				w.run(w.now + w.between(3, 5))
+				away.play(w, owner, w.peerOf(owner), away.length)
+				w.run(w.now + away.length + 1500*time.Millisecond)
+				for end := quiet + 16*s; w.now < end; w.run(w.now + 100*time.Millisecond) {
+					if !owner.core.ownership.MayAnswer() {
+						t.Errorf("seed %d: the owner does not act %.1f s after the outage began", seed, (w.now - quiet).Seconds())
+						break
+					}
+				}
+			}
+		})
+	}
+}
+
+// cutPeers cuts two controllers off from each other for a while.
+func (w *simulation) cutPeers(a, b *simNode, d time.Duration) {
+	w.setCut(a.label, b.label, true)
+	w.schedule(d, func() { w.setCut(a.label, b.label, false) })
+}
--- a/internal/controller/peer_messages.go
+++ b/internal/controller/peer_messages.go
@@ -38,6 +38,9 @@
 	// Faulty are jobs that earlier owners told this peer of and that the asker did not
 	// name. Versions without the field skip it.
 	Faulty []string
+	// Uptime is for how long the peer's process has run, where a promise was requested: an
+	// earlier life may have followed the asker. Versions without the field skip it.
+	Uptime time.Duration
 }
 
 // messagePeers asks peers for what this node can't see itself, and tells them of its work.
@@ -111,7 +114,7 @@
 		return
 	}
 	if x.Msg.Promise {
-		a := PeerAnswer{Yes: c.ownership.GrantExtension(c.now.Steady, x.Msg.Terms), Vouch: c.store.Mirror.Loaded, Behind: c.now.Steady - c.store.Mirror.KnownThrough}
+		a := PeerAnswer{Yes: c.ownership.GrantExtension(c.now.Steady, x.Msg.Terms), Vouch: c.store.Mirror.Loaded, Behind: c.now.Steady - c.store.Mirror.KnownThrough, Uptime: c.ownership.Uptime()}
 		if a.Vouch {
 			a.Cancelled = c.jobs.Cancellations()
 		}
@@ -142,7 +145,7 @@
 	case m.Promise:
 		c.mergeCancellations(a.Cancelled)
 		c.ownership.RecordPeerCancellations(peer, x.Call.Sent, a.Vouch, a.Behind)
-		c.ownership.RecordExtension(peer, x.Call.Sent, a.Yes)
+		c.ownership.RecordExtension(peer, x.Call.Sent, a.Yes, a.Uptime)
 	case a.Yes:
 		c.jobs.Suspect(a.Faulty)
 		for _, id := range m.Cancelled {
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -51,6 +51,9 @@
 	// restarted peer waits this long before it takes over from another, so it
 	// stays below NodeLease.
 	ExtensionLife = 2200 * time.Millisecond
+	// GrantLife is for how long a peer that promised keeps to it: longer than the asker
+	// counts on it, whatever the drift of their clocks.
+	GrantLife = ExtensionLife + LeaseMargin
 	// ExtensionInterval is how often a suspended owner asks for promises anew.
 	ExtensionInterval = 500 * time.Millisecond
 	// CancelMargin is kept of cancel_s, beyond a worker's lease, between the last
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -78,7 +78,8 @@
 	mapping      map[string]record
 	holders      map[string]record
 	lastOwners   map[string]string
-	endingLeases map[uint64]bool // leases of our earlier incarnations being ended
+	latestTerms  map[string]uint64 // class -> highest term seen, of claims that have ended as well
+	endingLeases map[uint64]bool   // leases of our earlier incarnations being ended
 
 	claims      map[string]*Claim
 	handingOver map[string]uint64 // class -> term that is being handed over
@@ -91,6 +92,7 @@
 
 	grantedUntil         time.Duration            // we claim nothing before this
 	extensions           map[string]time.Duration // peers' promises to us, until
+	notFollowedUntil     map[string]time.Duration // up to when peers, as they promised, can't have followed us
 	nextExtensionRequest time.Duration
 
 	// What is known of cancellations that users were told: peerCancellationsAt is up to when
@@ -105,8 +107,8 @@
 // staleness what MaxStaleness returns for the workers' settings.
 func New(name string, others []string, inc uint64, start, staleness time.Duration, store *statestore.Store, log func(slog.Level, string, ...any)) *Node {
 	return &Node{Name: name, Inc: inc, SupportedFormat: limits.RecordFormat, store: store, others: others, log: log, now: start, start: start,
-		nodes: map[string]record{}, mapping: map[string]record{}, holders: map[string]record{}, lastOwners: map[string]string{},
-		endingLeases: map[uint64]bool{}, claims: map[string]*Claim{}, handingOver: map[string]uint64{}, retryAt: map[string]time.Duration{}, extensions: map[string]time.Duration{},
+		nodes: map[string]record{}, mapping: map[string]record{}, holders: map[string]record{}, lastOwners: map[string]string{}, latestTerms: map[string]uint64{},
+		endingLeases: map[uint64]bool{}, claims: map[string]*Claim{}, handingOver: map[string]uint64{}, retryAt: map[string]time.Duration{}, extensions: map[string]time.Duration{}, notFollowedUntil: map[string]time.Duration{},
 		peerCancellationsAt: map[string]time.Duration{}, MaxStaleness: staleness,
 		jitter: time.Duration(inc % uint64(limits.ElectionJitter))}
 }
@@ -152,6 +154,8 @@
 		put(n.mapping, keyMap)
 	case strings.HasPrefix(c.Key, keyOwn):
 		put(n.holders, keyOwn)
+		class := classOf(c.Key, keyOwn)
+		n.latestTerms[class] = max(n.latestTerms[class], r.version)
 	case strings.HasPrefix(c.Key, keyLast):
 		if !c.Removed {
 			n.lastOwners[classOf(c.Key, keyLast)] = r.Node
