--- a/internal/jobs/cancellations.go
+++ b/internal/jobs/cancellations.go
@@ -108,15 +108,21 @@
 
 // Cancellations lists the cancelled jobs that this node knows of and that may still
 // have tasks, with those that it told a user of lately.
+//
+// Guards against a list that was vouched for and lacked one that was told long ago: at the moment
+// at which it was passed on as told no more, and for good if the job's record had not been read.
 func (r *Registry) Cancellations() []string {
 	var ids []string
 	for id, j := range r.Open {
-		if _, told := r.confirmedCancels[id]; j.Cancelled && !told {
+		if j.Cancelled {
 			ids = append(ids, id)
 		}
 	}
 	for id, at := range r.confirmedCancels {
-		if r.now-at > limits.CancelNoticeFor {
+		if j := r.Open[id]; j != nil && j.Cancelled {
+			continue // listed above
+		}
+		if r.now-at > limits.CancelNoticeFor && r.recordRemoved(id, at) {
 			delete(r.confirmedCancels, id)
 			continue
 		}
@@ -126,6 +132,12 @@
 	return ids
 }
 
+// recordRemoved tells whether the record of a job that was over at some time is known to be gone
+// since, and with it the job's last task.
+func (r *Registry) recordRemoved(id string, over time.Duration) bool {
+	return r.Open[id] == nil && r.store.Mirror.KnownThrough > over
+}
+
 // TakeNewCancellations lists the cancellations that became known here, by an answer to a user or by a
 // peer, since the last call.
 func (r *Registry) TakeNewCancellations() []string {
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -63,8 +63,9 @@
 	// MinStaleness is the least time for which an owner may act without news of
 	// cancellations, whatever cancel_s says: a watch without news, and its repeat.
 	MinStaleness = 2*WatchHold + 2*StoreTimeout
-	// CancelNoticeFor is for how long a node passes on a cancellation that it told a user of;
-	// by then every owner has heard of it or has stopped answering.
+	// CancelNoticeFor is for how long at least a node passes on a cancellation that it told a user
+	// of, and longer until the job's record is known to be gone: by then every owner has heard of
+	// it or has stopped answering.
 	CancelNoticeFor = 2 * time.Minute
 	// AloneAfter is how long the state service must be out of this node's reach,
 	// but in a peer's, before this node sends its users to others.
