--- a/internal/ownership/extension_test.go
+++ b/internal/ownership/extension_test.go
@@ -36,6 +36,22 @@
 	}
 }
 
+// TestClaimantExtendsNoEarlierTerm: a class was free, and a claim of ours has left without an answer. It
+// may still be carried out, so nobody is extended whose claim was over before.
+func TestClaimantExtendsNoEarlierTerm(t *testing.T) {
+	n := nodeAt(time.Minute)
+	n.store.Mirror.Revision = 11
+	n.lease, n.leaseEnd = 1, 2*time.Minute
+	n.mapping["small"] = record{holderRecord: holderRecord{Node: n.Name}, version: 10}
+	n.claim()
+	n.store.LastFail = n.now
+	for term, want := range map[uint64]bool{5: false, 12: true} {
+		if got := n.GrantExtension(n.now, map[string]uint64{"small": term}); got != want {
+			t.Errorf("term %d: extended %v", term, got)
+		}
+	}
+}
+
 // TestExtensionsProveNoGap: a promise counts if the peer remembers all the time in which it could have
 // followed us, by its uptime, or if its life before kept to a promise until it began.
 func TestExtensionsProveNoGap(t *testing.T) {
--- a/internal/ownership/mapping.go
+++ b/internal/ownership/mapping.go
@@ -113,6 +113,9 @@
 			break
 		}
 		key := keyOwn + classKey(c)
+		// Guards against a promise to the owner before while our claim is under way: it may be
+		// carried out late, and a next life of ours then acts at once, as the last owner.
+		n.latestTerms[c] = max(n.latestTerms[c], n.store.Mirror.Revision)
 		t.Guards = append(t.Guards, wire.Guard{Key: key}, wire.Guard{Key: keyMap + classKey(c), Version: m.version})
 		t.Then = append(t.Then, wire.Op{Key: key, Value: n.ownRecord(), Lease: n.lease})
 		if n.lastOwners[c] != n.Name {
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -78,7 +78,7 @@
 	mapping      map[string]record
 	holders      map[string]record
 	lastOwners   map[string]string
-	latestTerms  map[string]uint64 // class -> highest term seen, of claims that have ended as well
+	latestTerms  map[string]uint64 // class -> term up to which none holds any more but the holder's
 	endingLeases map[uint64]bool   // leases of our earlier incarnations being ended
 
 	claims      map[string]*Claim
