--- a/internal/controller/direct.go
+++ b/internal/controller/direct.go
@@ -117,8 +117,10 @@
 	default:
 		c.launchesReplied(m, call, x)
 	}
-	if load := c.loads[call.machine]; m != nil && load != nil && load.planned > 0 {
-		c.plannedMachines = append(c.plannedMachines, m.ID) // planned while the order was under way
+	// What was planned while the order was under way goes at once, but only to a worker that answers:
+	// guards against calls without a pause to one that refuses connections.
+	if load := c.loads[call.machine]; x.Status == 200 && load != nil && load.planned > 0 {
+		c.plannedMachines = append(c.plannedMachines, call.machine)
 	}
 	if c.ownership.MayLaunch() {
 		c.sendDirectLaunches()
--- a/internal/controller/direct_launches_test.go
+++ b/internal/controller/direct_launches_test.go
@@ -49,3 +49,27 @@
 		t.Errorf("%d orders at one time, want the limit, %d", most, limits.DirectInFlight)
 	}
 }
+
+// TestUnsentOrderIsNotRepeatedAtOnce: what could not be sent straight to a worker, or got no answer,
+// waits for the worker's next report. Guards against a worker that refuses connections and is
+// called again without a pause, as fast as it refuses.
+func TestUnsentOrderIsNotRepeatedAtOnce(t *testing.T) {
+	for name, reply := range map[string]DirectReply{
+		"unsent":     {Unsent: true},
+		"unanswered": {},
+	} {
+		t.Run(name, func(t *testing.T) {
+			o := newOwnerOfLongTasks(t)
+			o.order(false)
+			if !o.core.ownership.MayLaunch() {
+				t.Fatal("the owner may start nothing: the test shows nothing")
+			}
+			reply.ID = o.core.lastDirectCall
+			for _, out := range o.step(reply) {
+				if call, ok := out.(DirectCall); ok && call.Address == o.machine.Address {
+					t.Error("another order was sent at once")
+				}
+			}
+		})
+	}
+}
