--- a/internal/authority/renewal.go
+++ b/internal/authority/renewal.go
@@ -1,12 +1,13 @@
-// Package authority decides what a controller may do on what it knows, and tells why. It is pure:
-// the time, what the controller knows and how old that is are inputs.
+// Package authority decides which actions a controller may take, given what it currently knows, and
+// returns the reason for each decision. It is pure: the time, the controller's information and the
+// age of that information are inputs.
 //
-// Its first decision is whether a worker's report may be answered with 200. Such an answer starts
-// the worker's lease anew, and all tasks on the machine may run until that lease ends, also when
-// the machine hangs or hears nothing more. So an answer must stop every cancelled task that the
-// machine lists, and where an order may still start a cancelled task, no answer may leave so late
-// that the lease ends after the time that a cancellation has. Orders of earlier owners can be made
-// harmless: a worker that has seen the fencing token of this owner refuses them.
+// Its first decision is whether a worker's report may be answered with 200. Such an answer renews
+// the worker's lease, and every task on the machine may run until that lease ends, even if the
+// machine hangs or receives nothing more. So the answer must stop every cancelled task that the
+// machine lists. If an order may still start a cancelled task, the answer must leave early enough
+// for the lease to end within the time allowed for a cancellation. Orders of earlier owners can be
+// invalidated: a worker that has seen this owner's fencing token refuses them.
 package authority
 
 import (
@@ -16,49 +17,52 @@
 	"umberpaddle/internal/wire"
 )
 
-// Attempt names one attempt of a task.
+// Attempt identifies one attempt of a task.
 type Attempt struct {
 	Task   string
 	Number uint64
 }
 
-// String names the attempt for logs.
+// String returns the attempt as it appears in logs.
 func (a Attempt) String() string { return fmt.Sprintf("%s attempt %d", a.Task, a.Number) }
 
-// PossibleStart is an attempt of a cancelled task that is not on the machine, and that an order
-// which was sent and not answered may still start.
+// PossibleStart is an attempt of a cancelled task that is not on the machine, but that an order
+// which was sent and not yet answered may still start.
 type PossibleStart struct {
 	Attempt
-	// ToldAfter is the earliest time at which a user can have been told of the cancellation.
-	ToldAfter time.Duration
+	// ConfirmedAfter is the earliest time at which the cancellation can have been confirmed to a
+	// user.
+	ConfirmedAfter time.Duration
 }
 
-// EarlierOrder is an order of an earlier owner that a worker, which has not seen this owner's fencing
-// token, may still carry out: it starts a task of a cancelled job.
+// EarlierOrder is an order of an earlier owner that starts a task of a cancelled job. A worker that
+// has not seen the current owner's fencing token may still carry it out.
 type EarlierOrder struct {
 	Job string
-	// ToldAfter is the earliest time at which a user can have been told of the cancellation.
-	ToldAfter time.Duration
+	// ConfirmedAfter is the earliest time at which the cancellation can have been confirmed to a
+	// user.
+	ConfirmedAfter time.Duration
 }
 
-// Renewal is what a controller knows when it is to answer a report with 200.
-type Renewal struct {
+// RenewalInput is the information on which a controller decides whether to answer a report with 200.
+type RenewalInput struct {
 	Now time.Duration
-	// ActUntil is until when the controller may answer workers at all.
-	ActUntil time.Duration
-	// MaxStaleness is how long after a user was told of a cancellation a worker that may run the
-	// job's tasks may last be renewed: the worker's lease then ends in time.
+	// AnswerDeadline is the time from which the controller may not answer workers at all.
+	AnswerDeadline time.Duration
+	// MaxStaleness is how long after the confirmation of a cancellation a worker that may run the
+	// job's tasks can last be renewed, so that its lease still ends in time.
 	MaxStaleness time.Duration
-	// Listed are the attempts on the machine that must end: those of cancelled jobs, and of no
-	// job that the controller knows.
-	Listed []Attempt
-	// MayStart are the attempts that may yet come onto the machine although they must not run.
+	// MustStop are the attempts on the machine that must end: attempts of cancelled jobs and of
+	// jobs unknown to the controller.
+	MustStop []Attempt
+	// MayStart are the attempts that must not run but may still be started on the machine.
 	MayStart []PossibleStart
-	// EarlierOrders are those that may be outstanding as long as the worker is not fenced.
+	// EarlierOrders are the orders of earlier owners that may be outstanding until the worker is
+	// fenced.
 	EarlierOrders []EarlierOrder
 }
 
-// Reason tells why a renewal is allowed or withheld.
+// Reason is why a renewal is allowed or withheld.
 type Reason string
 
 // Reasons.
@@ -71,91 +75,98 @@
 	NoLongerOwner    Reason = "the right to answer workers is over"
 )
 
-// Verdict is the decision about a renewal.
-type Verdict struct {
+// Decision is the outcome for one renewal.
+type Decision struct {
 	Renew bool
-	// Fence: the renewal is allowed once the worker has seen this owner's fencing token.
-	Fence  bool
-	Reason Reason
-	// Until is the time after which the answer must not leave.
-	Until time.Duration
+	// FenceFirst reports that the renewal is allowed only once the worker has seen this owner's
+	// fencing token.
+	FenceFirst bool
+	Reason     Reason
+	// Deadline is the time from which the answer must not be sent.
+	Deadline time.Duration
 	// Stops are the commands that the answer must carry.
 	Stops []wire.Command
-	// Cause is the attempt for which the renewal is withheld, or bounded.
+	// Cause is the attempt because of which the renewal is withheld or its deadline shortened.
 	Cause Attempt
-	// CauseJob is the job of an earlier owner's order for which it is, if Cause is empty.
+	// CauseJob is set instead of Cause if the reason is an earlier owner's order: the job of that
+	// order.
 	CauseJob string
 }
 
-// Judge decides about renewals, and checks what was made of its decisions.
-type Judge interface {
-	// JudgeRenewal decides whether a report may be answered with 200, until when, and with which
-	// stops.
-	JudgeRenewal(Renewal) Verdict
-	// CheckAnswer checks the commands of an answer that is about to leave.
-	CheckAnswer(r Renewal, commands []wire.Command) error
+// RenewalPolicy decides about renewals and checks the answers built from its decisions.
+type RenewalPolicy interface {
+	// DecideRenewal returns whether a report may be answered with 200, by when, and with which
+	// stop commands.
+	DecideRenewal(RenewalInput) Decision
+	// CheckAnswer checks the commands of an answer just before it is sent.
+	CheckAnswer(input RenewalInput, commands []wire.Command) error
 }
 
-// Rules is the Judge that holds the protocol's rules.
+// Rules is the RenewalPolicy that implements the rules of the protocol.
 type Rules struct{}
 
-// JudgeRenewal implements Judge.
-func (Rules) JudgeRenewal(r Renewal) Verdict {
-	v := Verdict{Renew: true, Reason: NothingCancelled, Until: r.ActUntil}
-	for _, a := range r.Listed {
-		v.Reason = AllStopped
-		v.Stops = append(v.Stops, wire.Command{Verb: wire.VerbStop, Task: a.Task, Attempt: a.Number})
+// DecideRenewal implements RenewalPolicy.
+func (Rules) DecideRenewal(input RenewalInput) Decision {
+	decision := Decision{Renew: true, Reason: NothingCancelled, Deadline: input.AnswerDeadline}
+	for _, a := range input.MustStop {
+		decision.Reason = AllStopped
+		decision.Stops = append(decision.Stops, wire.Command{Verb: wire.VerbStop, Task: a.Task, Attempt: a.Number})
 	}
-	for _, p := range r.MayStart {
-		if until := p.ToldAfter + r.MaxStaleness; until < v.Until {
-			v.Reason, v.Until, v.Cause = InTime, until, p.Attempt
+	for _, start := range input.MayStart {
+		if deadline := start.ConfirmedAfter + input.MaxStaleness; deadline < decision.Deadline {
+			decision.Reason, decision.Deadline, decision.Cause = InTime, deadline, start.Attempt
 		}
 	}
-	own := v.Until
-	for _, o := range r.EarlierOrders {
-		if until := o.ToldAfter + r.MaxStaleness; until < v.Until {
-			v.Reason, v.Until, v.Cause, v.CauseJob = InTime, until, Attempt{}, o.Job
+	fencedDeadline := decision.Deadline
+	for _, order := range input.EarlierOrders {
+		if deadline := order.ConfirmedAfter + input.MaxStaleness; deadline < decision.Deadline {
+			decision.Reason, decision.Deadline, decision.Cause, decision.CauseJob = InTime, deadline, Attempt{}, order.Job
 		}
 	}
 	switch {
-	case r.Now < v.Until:
-	case r.Now < own:
-		v.Renew, v.Fence, v.Reason = false, true, NotFenced
-	case r.Now < r.ActUntil:
-		v.Renew, v.Reason = false, TooLate
+	case input.Now < decision.Deadline:
+	case input.Now < fencedDeadline:
+		decision.Renew, decision.FenceFirst, decision.Reason = false, true, NotFenced
+	case input.Now < input.AnswerDeadline:
+		decision.Renew, decision.Reason = false, TooLate
 	default:
-		v.Renew, v.Reason = false, NoLongerOwner
+		decision.Renew, decision.Reason = false, NoLongerOwner
 	}
-	return v
+	return decision
 }
 
-// UnstoppedError tells that an answer would renew a machine without stopping a task that must end.
+// UnstoppedError reports that an answer would renew a machine without stopping a task that must end.
 type UnstoppedError struct{ Attempt Attempt }
 
-func (e *UnstoppedError) Error() string { return "not stopped: " + e.Attempt.String() }
+func (e *UnstoppedError) Error() string {
+	return "answer does not stop " + e.Attempt.String()
+}
 
-// NotFencedError tells that an answer would renew a machine on which an earlier owner's order may
-// start a task of a cancelled job that then runs for too long.
+// NotFencedError reports that an answer would renew a machine on which an earlier owner's order may
+// start a task of a cancelled job, and that the task could then run past the time allowed for the
+// cancellation.
 type NotFencedError struct{ Job string }
 
-func (e *NotFencedError) Error() string { return "not fenced: an earlier order of " + e.Job }
+func (e *NotFencedError) Error() string {
+	return "worker is not fenced: an earlier owner's order may start a task of " + e.Job
+}
 
-// CheckAnswer implements Judge: no earlier owner's order bounds the answer's time as of now, every
-// attempt that must end is stopped, and none is launched.
-func (Rules) CheckAnswer(r Renewal, commands []wire.Command) error {
-	for _, o := range r.EarlierOrders {
-		if r.Now >= o.ToldAfter+r.MaxStaleness {
-			return &NotFencedError{o.Job}
+// CheckAnswer implements RenewalPolicy. It returns an error if the deadline set by an earlier owner's
+// order has passed, or if the answer leaves an attempt that must end unstopped or launches it again.
+func (Rules) CheckAnswer(input RenewalInput, commands []wire.Command) error {
+	for _, order := range input.EarlierOrders {
+		if input.Now >= order.ConfirmedAfter+input.MaxStaleness {
+			return &NotFencedError{order.Job}
 		}
 	}
-	if len(r.Listed) == 0 {
+	if len(input.MustStop) == 0 {
 		return nil
 	}
 	stopped := make(map[Attempt]bool, len(commands))
 	for _, c := range commands {
 		stopped[Attempt{c.Task, c.Attempt}] = c.Verb == wire.VerbStop
 	}
-	for _, a := range r.Listed {
+	for _, a := range input.MustStop {
 		if !stopped[a] {
 			return &UnstoppedError{a}
 		}
--- a/internal/controller/assignments.go
+++ b/internal/controller/assignments.go
@@ -8,142 +8,147 @@
 	"umberpaddle/internal/jobs"
 )
 
-// taskRef is a task as seen from its machine.
+// taskRef identifies a task by its job and its index in the job.
 type taskRef struct {
 	job  *jobs.Job
 	task int
 }
 
-// machineLoad is what is placed on one machine, with its sum kept up to date: adding
-// it up anew at every report took most of an owner's processor share.
+// machineLoad holds the tasks placed on one machine and the sum of their resources. The sum is
+// maintained incrementally, because recomputing it for every report used most of an owner's CPU
+// share.
 type machineLoad struct {
 	class   string
-	tasks   map[string]taskRef // by task id
+	tasks   map[string]taskRef // by task ID
 	used    allocation.Resources
-	planned int // places not yet told to the worker
+	planned int // number of tasks not yet sent to the worker
 	view    allocation.Machine
 }
 
-// usage is what a team has placed on a class.
-type usage struct {
+// teamUsage is the number of tasks that a team has placed on a class, and their resources.
+type teamUsage struct {
 	tasks int
 	sum   allocation.Resources
 }
 
-// loadOf returns the places on a machine that the pool knows.
+// loadOf returns the load of a machine and creates an empty one if there is none.
 func (c *Core) loadOf(id string) *machineLoad {
-	h := c.loads[id]
-	if h == nil {
-		h = &machineLoad{tasks: map[string]taskRef{}}
-		if m := c.pool.Machines[id]; m != nil {
-			h.class = m.Class
+	load := c.loads[id]
+	if load == nil {
+		load = &machineLoad{tasks: map[string]taskRef{}}
+		if machine := c.pool.Machines[id]; machine != nil {
+			load.class = machine.Class
 		}
-		c.loads[id] = h
+		c.loads[id] = load
 	}
-	return h
+	return load
 }
 
-// tasksOn counts the places on a machine.
+// tasksOn returns the number of tasks placed on a machine.
 func (c *Core) tasksOn(id string) int {
-	if h := c.loads[id]; h != nil {
-		return len(h.tasks)
+	if load := c.loads[id]; load != nil {
+		return len(load.tasks)
 	}
 	return 0
 }
 
-// assign gives a task a place, or changes the state of the one it has. Every
-// assignment is made here and taken away in unassign, so that the sums hold.
-func (c *Core) assign(j *jobs.Job, task int, p jobs.Assignment) {
-	id := jobs.TaskID(j.ID, task)
-	if old, ok := j.Assigned[task]; ok && old.Machine != p.Machine {
-		c.unassign(j, task)
-	}
-	h := c.loadOf(p.Machine)
-	if was, ok := h.tasks[id]; ok && was.job != j {
-		c.unassign(was.job, was.task) // a record that was read anew
-	}
-	if old, ok := j.Assigned[task]; ok {
+// assign assigns a task to a machine, or changes the state of its existing assignment. All
+// assignments are made here and removed by unassign, which keeps the sums consistent.
+func (c *Core) assign(job *jobs.Job, task int, assignment jobs.Assignment) {
+	id := jobs.TaskID(job.ID, task)
+	if old, ok := job.Assigned[task]; ok && old.Machine != assignment.Machine {
+		c.unassign(job, task)
+	}
+	load := c.loadOf(assignment.Machine)
+	if previous, ok := load.tasks[id]; ok && previous.job != job {
+		c.unassign(previous.job, previous.task) // the job's record was read again, which replaced the Job
+	}
+	if old, ok := job.Assigned[task]; ok {
 		if old.State == jobs.Planned {
-			h.planned--
+			load.planned--
 		}
 	} else {
-		h.tasks[id] = taskRef{j, task}
-		h.used = h.used.Add(need(j), 1)
-		c.account(j, h.class, 1)
+		load.tasks[id] = taskRef{job, task}
+		load.used = load.used.Add(taskResources(job), 1)
+		c.accountUsage(job, load.class, 1)
 	}
-	if p.State == jobs.Planned {
-		h.planned++
+	if assignment.State == jobs.Planned {
+		load.planned++
 	}
-	j.Assign(task, p)
+	job.Assign(task, assignment)
 }
 
-// unassign takes a task's place away.
-func (c *Core) unassign(j *jobs.Job, task int) {
-	p, ok := j.Assigned[task]
+// unassign removes a task's assignment.
+func (c *Core) unassign(job *jobs.Job, task int) {
+	assignment, ok := job.Assigned[task]
 	if !ok {
 		return
 	}
-	j.Unassign(task)
-	c.dirty = true
-	if j.Gang {
-		c.gangLost(j, p)
+	job.Unassign(task)
+	c.schedulingDue = true
+	if job.Gang {
+		c.recordGangTaskLost(job, assignment)
 	}
-	h := c.loads[p.Machine]
-	if h == nil {
+	load := c.loads[assignment.Machine]
+	if load == nil {
 		return
 	}
-	delete(h.tasks, jobs.TaskID(j.ID, task))
-	if p.State == jobs.Planned {
-		h.planned--
+	delete(load.tasks, jobs.TaskID(job.ID, task))
+	if assignment.State == jobs.Planned {
+		load.planned--
 	}
-	h.used = h.used.Add(need(j), -1)
-	if len(h.tasks) == 0 {
-		h.used = allocation.Resources{} // what rounding left
+	load.used = load.used.Add(taskResources(job), -1)
+	if len(load.tasks) == 0 {
+		load.used = allocation.Resources{} // removes accumulated rounding errors
 	}
-	c.account(j, h.class, -1)
+	c.accountUsage(job, load.class, -1)
 }
 
-func (c *Core) account(j *jobs.Job, class string, n int) {
-	by := c.booked[j.Team]
-	if by == nil {
-		by = map[string]usage{}
-		c.booked[j.Team] = by
-	}
-	b := by[class]
-	b.tasks += n
-	b.sum = b.sum.Add(need(j), float64(n))
-	if b.tasks <= 0 {
-		delete(by, class)
+// accountUsage adds n tasks of a job to, or with a negative n removes them from, the usage of the
+// job's team on a class.
+func (c *Core) accountUsage(job *jobs.Job, class string, n int) {
+	byClass := c.booked[job.Team]
+	if byClass == nil {
+		byClass = map[string]teamUsage{}
+		c.booked[job.Team] = byClass
+	}
+	entry := byClass[class]
+	entry.tasks += n
+	entry.sum = entry.sum.Add(taskResources(job), float64(n))
+	if entry.tasks <= 0 {
+		delete(byClass, class)
 		return
 	}
-	by[class] = b
+	byClass[class] = entry
 }
 
-// bookedBy copies what a team has placed, for a run that adds to it.
-func (c *Core) bookedBy(team string) map[string]allocation.Resources {
-	out := make(map[string]allocation.Resources, len(c.booked[team]))
-	for class, b := range c.booked[team] {
-		out[class] = b.sum
-	}
-	return out
+// bookedByClass returns a copy of the resources that a team has placed, by class. The allocation
+// run adds to the copy.
+func (c *Core) bookedByClass(team string) map[string]allocation.Resources {
+	byClass := make(map[string]allocation.Resources, len(c.booked[team]))
+	for class, entry := range c.booked[team] {
+		byClass[class] = entry.sum
+	}
+	return byClass
 }
 
-// taskIDs lists the tasks on a machine in order.
-func (h *machineLoad) taskIDs() []string {
-	if h == nil {
+// taskIDs returns the IDs of the tasks on a machine in sorted order.
+func (l *machineLoad) taskIDs() []string {
+	if l == nil {
 		return nil
 	}
-	return slices.Sorted(maps.Keys(h.tasks))
+	return slices.Sorted(maps.Keys(l.tasks))
 }
 
-// plannedTaskIDs lists the tasks planned for a machine and not yet told, in order.
-func (h *machineLoad) plannedTaskIDs() []string {
-	if h == nil || h.planned == 0 {
+// plannedTaskIDs returns the IDs of the tasks that are planned for a machine but not yet sent to
+// its worker, in sorted order.
+func (l *machineLoad) plannedTaskIDs() []string {
+	if l == nil || l.planned == 0 {
 		return nil
 	}
 	var ids []string
-	for id, p := range h.tasks {
-		if p.job.Assigned[p.task].State == jobs.Planned {
+	for id, ref := range l.tasks {
+		if ref.job.Assigned[ref.task].State == jobs.Planned {
 			ids = append(ids, id)
 		}
 	}
--- a/internal/controller/cancelled_runs_on_test.go
+++ b/internal/controller/cancelled_runs_on_test.go
@@ -117,12 +117,12 @@
 	unchecked bool // answers leave without a second look
 }
 
-func (j forgetfulJudge) JudgeRenewal(r authority.Renewal) authority.Verdict {
-	r.Listed = nil
-	return j.Rules.JudgeRenewal(r)
+func (j forgetfulJudge) DecideRenewal(r authority.RenewalInput) authority.Decision {
+	r.MustStop = nil
+	return j.Rules.DecideRenewal(r)
 }
 
-func (j forgetfulJudge) CheckAnswer(r authority.Renewal, commands []wire.Command) error {
+func (j forgetfulJudge) CheckAnswer(r authority.RenewalInput, commands []wire.Command) error {
 	if j.unchecked {
 		return nil
 	}
@@ -134,7 +134,7 @@
 func TestForgottenStopsAreCaught(t *testing.T) {
 	for _, x := range []struct {
 		name   string
-		judge  authority.Judge
+		judge  authority.RenewalPolicy
 		breaks string
 	}{
 		{"unchecked", forgetfulJudge{unchecked: true}, "ran_cancelled"},
@@ -143,7 +143,7 @@
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(1); seed <= guardOutSeeds; seed++ {
-				for _, b := range leadersInSeries(seed, func(c *Core) { c.judge = x.judge }).broken {
+				for _, b := range leadersInSeries(seed, func(c *Core) { c.renewalRules = x.judge }).broken {
 					if strings.HasPrefix(b, x.breaks) {
 						return
 					}
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -1,5 +1,5 @@
-// Package controller joins the slices: Core is the state machine that owns all
-// state, and Server is the loop and the sockets around it.
+// Package controller combines the components of a controller. Core is the state machine that owns
+// all state; Server runs it in a loop and handles the network.
 package controller
 
 import (
@@ -17,12 +17,12 @@
 	"umberpaddle/internal/workers"
 )
 
-// Core is the state machine. It has no clock, no I/O and no locks.
+// Core is the controller's state machine. It reads no clock, does no I/O and takes no locks.
 type Core struct {
 	settings *config.Settings
 	operator *config.Operator
 	now      Now
-	out      []Output
+	outputs  []Output // outputs of the current step
 	teams    map[string]*config.Team
 
 	store     *statestore.Store
@@ -31,141 +31,145 @@
 	pool      *workers.Pool
 	fleet     *fleet.Manager
 
-	active         map[string]uint64           // class -> term that we act on
-	loads          map[string]*machineLoad     // machine -> what is placed on it
-	booked         map[string]map[string]usage // team -> class -> what is placed
+	activeTerms    map[string]uint64               // owned class -> term under which this node acts
+	loads          map[string]*machineLoad         // machine -> tasks assigned to it
+	booked         map[string]map[string]teamUsage // team -> class -> resources of its assigned tasks
 	machineRecords map[string]machineRecord
-	machineTable   *statestore.RecordTable // where machineRecords are stored
-	attemptCounter uint64                  // attempts given out
-	// lastReport is when a worker's report last counted, reportsResumedAt when one last came
-	// after a time without any, and lastNewMachine when a machine last found this owner.
-	lastReport, reportsResumedAt, lastNewMachine time.Duration
-	// lastArrival is when a report for our classes last arrived, answered or not,
-	// lastForeignArrival when one for classes of others did, and handedOverAt when this node
-	// last handed its classes over. foreignArrivals is when each peer last said that reports
-	// for classes of others arrive there.
+	machineTable   *statestore.RecordTable // stores machineRecords
+	attemptCounter uint64                  // lower part of the last attempt number
+	// lastReport is when a worker's report was last accepted. reportsResumedAt is when the first
+	// report after the last gap without any was accepted. lastMachineJoined is when a recorded machine
+	// last sent its first report under the current term.
+	lastReport, reportsResumedAt, lastMachineJoined time.Duration
+	// lastArrival is when a report for an owned class last arrived, whether or not it was answered.
+	// lastForeignArrival is when a report for another owner's class last arrived. handedOverAt is
+	// when this node last handed its classes over. foreignArrivals maps each peer to the time at
+	// which it last confirmed that workers of other owners' classes report to it.
 	lastArrival, lastForeignArrival, handedOverAt time.Duration
 	foreignArrivals                               map[string]time.Duration
 	nextArrivalQuery                              time.Duration
 
-	jobsChanged bool // what decides on Active and Frozen may have changed
-	// reported and reportedAttempts are room for reconcile's look at one report.
-	reported         map[attempt]bool
+	jobsChanged bool // inputs of jobs' Active and Frozen may have changed
+	// reported and reportedAttempts are scratch maps that reconcile reuses for each report.
+	reported         map[attemptKey]bool
 	reportedAttempts map[uint64]bool
-	// round is what the last look at all machines left waiting, for the room that
-	// a single report frees; nil when it may be wrong.
-	round     *schedulingRound
+	// lastRound holds the work that the last scheduling round left waiting. allocateOnMachine fills the room
+	// that a single report frees from it. It is nil when it may be out of date.
+	lastRound *schedulingRound
 	nextRound time.Duration
-	// preemptions are machines on which tasks end to make room for others.
+	// preemptions maps each machine whose tasks are preempted to the job that waits for the room.
 	preemptions    map[string]*preemption
 	nextPreemption time.Duration
-	// directCalls are those under way; touched are machines with new plans.
-	directCalls    map[uint64]*directCall
-	lastDirectCall uint64
-	probesInFlight int // of orders, those that launch nothing
-	// fencesInFlight are those that only show a worker our token, fenceRepeats the repeats among them.
+	// directCalls are the calls to workers in flight, by ID.
+	directCalls      map[uint64]*directCall
+	lastDirectCallID uint64
+	probesInFlight   int // direct calls in flight that launch nothing, fences excluded
+	// fencesInFlight counts the direct calls in flight that only show a worker our fencing token;
+	// fenceRepeats counts the repeated ones among them.
 	fencesInFlight, fenceRepeats int
-	plannedMachines              []string
-	// The order of jobs, kept for a moment.
-	sorted            []*jobs.Job
-	sortedAt          time.Duration
-	sortStale         bool
-	dirty             bool // the allocation has something new to decide on
+	plannedMachines              []string // machines with new plans whose launches are not sent yet
+	// jobOrder caches the scheduling order of the jobs.
+	jobOrder          []*jobs.Job
+	jobOrderAt        time.Duration // when jobOrder was computed
+	jobOrderStale     bool
+	schedulingDue     bool // a scheduling round is due: something that it depends on has changed
 	nextMachineCheck  time.Duration
 	nextCountsMessage time.Duration
 	nextFleetPlan     time.Duration
-	nextProbe         time.Duration
-	// peerReachedStoreAt is when a peer last reached the state service while we didn't.
+	nextStoreProbe    time.Duration
+	// peerReachedStoreAt is when a peer last confirmed that it reaches the state service while this
+	// node did not.
 	peerReachedStoreAt time.Duration
 	nextUsageLog       time.Duration
-	storeReplies       replyTimes
-	judge              authority.Judge
+	storeReplyTimes    replyTimes
+	renewalRules       authority.RenewalPolicy
 	renewals           renewalCounts
-	// heldReports are those whose answer waits until the machine has seen our token, by machine;
-	// fenceQueue are machines that are to be sent a first order for it.
+	// heldReports maps each machine to its report whose answer waits until the machine has seen our
+	// fencing token. fenceQueue lists the machines that wait for their first fence.
 	heldReports      map[string]*heldReport
 	fenceQueue       []string
 	nextKnowledgeLog time.Duration
-	loggedReadings   int          // how many readings of the records were logged
-	links            *linkMonitor // nil: not switched on
-	toldCounts       map[string][2]int
-	// cancelNotices are cancellations of which the owners of classes were not told yet.
-	cancelNotices map[string]map[string]bool
-	nextNotice    time.Duration
-	// reserved are machines that take only gangs, and gangPeak how many CPUs those that
-	// should start soon have lately asked for.
-	reserved        map[string]bool
-	gangDemand      float64
-	gangDemandAt    time.Duration
-	nextReserve     time.Duration
-	keepIdle        map[string]bool // classes whose machines keep small tasks off scarce ones
-	typesSaved      map[string]bool
-	savingTypes     bool
-	recordRequested map[string]bool // machines whose record as up was requested
-	nextRecordScan  time.Duration
-	fleetChanged    bool // machines came, went, or were recorded since the last scan of the fleet
-	nextFleetScan   time.Duration
-	resolving       map[string]bool // classes taken over with machines still unresolved
+	loggedFullReads  int               // full reads of the records that were logged
+	links            *linkMonitor      // nil if link monitoring is switched off
+	sentCounts       map[string][2]int // job -> tasks done and running, as last sent to peers
+	// pendingCancelNotices maps each owner to the cancelled jobs whose notice it has not acknowledged.
+	pendingCancelNotices map[string]map[string]bool
+	nextCancelNotice     time.Duration
+	// gangOnlyMachines are reserved for gangs. gangDemand is the recent peak of the CPUs that
+	// gangs due to start soon asked for, as of gangDemandAt; it decays with GangDemandHalfLife.
+	gangOnlyMachines  map[string]bool
+	gangDemand        float64
+	gangDemandAt      time.Duration
+	nextGangReserve   time.Duration
+	keptIdleClasses   map[string]bool // classes whose idle machines are kept, so that small tasks leave scarce classes
+	savedTypes        map[string]bool // machine types that are stored in the state service
+	savingTypes       bool            // a write of machine types is in flight
+	recordRequested   map[string]bool // machines whose record as up was requested
+	nextRecordScan    time.Duration
+	fleetChanged      bool // machines were added, removed or recorded since the last scan of the fleet
+	nextFleetScan     time.Duration
+	unresolvedClasses map[string]bool // classes taken over whose machines are not all resolved yet
 }
 
-// NewCore makes the state machine. random names this life of the process.
-func NewCore(set *config.Settings, ops *config.Operator, now Now, random uint64) *Core {
+// NewCore returns the state machine of one controller. incarnation is a random number that
+// identifies this run of the process.
+func NewCore(settings *config.Settings, operator *config.Operator, now Now, incarnation uint64) *Core {
 	c := &Core{
-		settings:         set,
-		operator:         ops,
-		now:              now,
-		teams:            map[string]*config.Team{},
-		active:           map[string]uint64{},
-		reported:         map[attempt]bool{},
-		reportedAttempts: map[uint64]bool{},
-		directCalls:      map[uint64]*directCall{},
-		preemptions:      map[string]*preemption{},
-		loads:            map[string]*machineLoad{},
-		booked:           map[string]map[string]usage{},
-		machineRecords:   map[string]machineRecord{},
-		foreignArrivals:  map[string]time.Duration{},
-		toldCounts:       map[string][2]int{},
-		cancelNotices:    map[string]map[string]bool{},
-		reserved:         map[string]bool{},
-		keepIdle:         map[string]bool{},
-		typesSaved:       map[string]bool{},
-		recordRequested:  map[string]bool{},
-		resolving:        map[string]bool{},
-		heldReports:      map[string]*heldReport{},
-		judge:            authority.Rules{},
+		settings:             settings,
+		operator:             operator,
+		now:                  now,
+		teams:                map[string]*config.Team{},
+		activeTerms:          map[string]uint64{},
+		reported:             map[attemptKey]bool{},
+		reportedAttempts:     map[uint64]bool{},
+		directCalls:          map[uint64]*directCall{},
+		preemptions:          map[string]*preemption{},
+		loads:                map[string]*machineLoad{},
+		booked:               map[string]map[string]teamUsage{},
+		machineRecords:       map[string]machineRecord{},
+		foreignArrivals:      map[string]time.Duration{},
+		sentCounts:           map[string][2]int{},
+		pendingCancelNotices: map[string]map[string]bool{},
+		gangOnlyMachines:     map[string]bool{},
+		keptIdleClasses:      map[string]bool{},
+		savedTypes:           map[string]bool{},
+		recordRequested:      map[string]bool{},
+		unresolvedClasses:    map[string]bool{},
+		heldReports:          map[string]*heldReport{},
+		renewalRules:         authority.Rules{},
 	}
-	for i := range set.Cluster.Teams {
-		c.teams[set.Cluster.Teams[i].Name] = &set.Cluster.Teams[i]
+	for i := range settings.Cluster.Teams {
+		c.teams[settings.Cluster.Teams[i].Name] = &settings.Cluster.Teams[i]
 	}
-	cl := &set.Cluster
-	// Sizes that hold before and after an announced change of the state service's limits.
-	changes, valueKB := cl.StateSizes()
-	c.store = statestore.New(cl.State.RPS, cl.State.WriteRPS, changes, valueKB)
-	if n := cl.State.Next; n != nil {
-		c.store.AnnounceWriteRate(n.WriteRPS)
+	cluster := &settings.Cluster
+	// These sizes are valid before and after an announced change of the state service's limits.
+	changes, valueKB := cluster.StateSizes()
+	c.store = statestore.New(cluster.State.RPS, cluster.State.WriteRPS, changes, valueKB)
+	if next := cluster.State.Next; next != nil {
+		c.store.AnnounceWriteRate(next.WriteRPS)
 	}
 	var others []string
-	for _, p := range set.Others {
-		others = append(others, p.Label)
+	for _, other := range settings.Others {
+		others = append(others, other.Label)
 	}
-	staleness := ownership.MaxStaleness(limits.Seconds(cl.Workers.CancelS), limits.Seconds(cl.Workers.LeaseS))
-	c.ownership = ownership.New(set.Label, others, random, now.Steady, staleness, c.store, c.log)
+	maxStaleness := ownership.MaxStaleness(limits.Seconds(cluster.Workers.CancelS), limits.Seconds(cluster.Workers.LeaseS))
+	c.ownership = ownership.New(settings.Label, others, incarnation, now.Steady, maxStaleness, c.store, c.log)
 	c.jobs = jobs.New(c.store, c.ownership.Guard, c.ownership.Format, c.log)
 	c.machineTable = statestore.NewRecordTable(c.store, keyMachines, c.ownership.Guard, c.applyMachineRecord)
-	c.pool = workers.New(cl.Workers.LeaseS, cl.Workers.ReportS)
-	c.fleet = fleet.New(cl.Cloud.RPS, cl.Cloud.ListLagS, rentalPrefix(set.Label, random), c.log)
-	c.links = newLinkMonitor(set.Label, random, ops.Reachability, now.Steady)
-	c.fleet.OnGone = c.machineGone
+	c.pool = workers.New(cluster.Workers.LeaseS, cluster.Workers.ReportS)
+	c.fleet = fleet.New(cluster.Cloud.RPS, cluster.Cloud.ListLagS, rentalPrefix(settings.Label, incarnation), c.log)
+	c.links = newLinkMonitor(settings.Label, incarnation, operator.Reachability, now.Steady)
+	c.fleet.OnGone = c.handleMachineDeleted
 	c.fleet.ReportWithin = c.pool.SilentFor()
 	c.fleet.TakeoverRound = c.pool.Report*5/4 + limits.TakeoverSlack
 	return c
 }
 
 func (c *Core) log(level slog.Level, msg string, args ...any) {
-	c.out = append(c.out, Log{level, msg, args})
+	c.outputs = append(c.outputs, Log{level, msg, args})
 }
 
-// Step takes one input and returns what to do about it.
+// Step processes one input and returns the resulting outputs.
 func (c *Core) Step(now Now, in Input) []Output {
 	if now.Steady-c.now.Steady > limits.PauseThreshold {
 		c.resumeAfterPause(now.Steady)
@@ -175,7 +179,7 @@
 	}
 	c.now.Unix = now.Unix
 	t := c.now.Steady
-	c.jobs.NoteCancellationsKnown(c.ownership.CancellationsKnownThrough())
+	c.jobs.SetCancellationsKnownThrough(c.ownership.CancellationsKnownThrough())
 	c.ownership.Advance(t)
 	c.store.Advance(t)
 	c.links.noteInput(in, t)
@@ -187,116 +191,116 @@
 	case Cancel:
 		c.cancel(x)
 	case Ready:
-		c.ready(x)
+		c.answerReady(x)
 	case LinksQuery:
-		c.tellLinks(x)
+		c.answerLinksQuery(x)
 	case Checkin:
-		// Hundreds come each second, and what follows from one can wait for the
-		// next tick, but for the answer.
-		c.checkin(x)
-		return c.flush()
+		// Hundreds of reports arrive each second. Only the answer is sent at once; the other
+		// effects of a report wait for the next tick.
+		c.handleCheckin(x)
+		return c.takeOutputs()
 	case StoreReply:
-		c.noteSlowReply(x)
+		c.recordStoreLatency(x)
 		c.store.Reply(t, x.ID, x.Status, x.Body)
 	case DirectReply:
-		c.directReplied(x)
-		return c.flush()
+		c.handleDirectReply(x)
+		return c.takeOutputs()
 	case CloudReply:
 		c.fleet.Reply(t, x.ID, x.Status, x.Body)
 		c.fleetChanged = true
 	case PeerReply:
-		c.peerReplied(x)
+		c.handlePeerReply(x)
 	case PeerRequest:
-		c.answerPeer(x)
+		c.handlePeerRequest(x)
 	}
 	c.advance()
-	return c.flush()
+	return c.takeOutputs()
 }
 
-// resumeAfterPause takes note that this node stood still until now: what it did not hear
-// meanwhile waits to be read, so nobody's silence counts, and it decides on nothing
-// before. Guards against machines that a node returned, and classes that it handed
-// over, as soon as it went on.
-func (c *Core) resumeAfterPause(t time.Duration) {
-	c.log(slog.LevelInfo, "stood still", "for", t-c.now.Steady)
-	c.links.stoodStill(t - c.now.Steady)
-	c.lastArrival, c.lastReport = t, t
-	c.reportsResumedAt, c.lastNewMachine = t, t
-	c.nextMachineCheck, c.nextFleetPlan = t+limits.MachineCheckInterval, t+limits.PlanInterval
+// resumeAfterPause restarts the timers for silence and planning when the process resumes at now
+// after a pause. Messages that arrived during the pause are still unread, so the silence of workers
+// and peers proves nothing yet. Without this, a resumed node at once returned machines and handed
+// over its classes.
+func (c *Core) resumeAfterPause(now time.Duration) {
+	c.log(slog.LevelInfo, "stood still", "for", now-c.now.Steady)
+	c.links.stoodStill(now - c.now.Steady)
+	c.lastArrival, c.lastReport = now, now
+	c.reportsResumedAt, c.lastMachineJoined = now, now
+	c.nextMachineCheck, c.nextFleetPlan = now+limits.MachineCheckInterval, now+limits.PlanInterval
 }
 
-func (c *Core) flush() []Output {
-	out := c.out
-	c.out = nil
+// takeOutputs returns the outputs collected since its last call.
+func (c *Core) takeOutputs() []Output {
+	out := c.outputs
+	c.outputs = nil
 	c.links.noteSent(out, c.now.Steady)
 	return out
 }
 
-// tellLinks answers an operator's question for the links.
-func (c *Core) tellLinks(x LinksQuery) {
-	if reply, on := c.links.reply(c.now.Steady); on {
-		c.out = append(c.out, Answer{Ref: x.Ref, Status: 200, Body: reply})
+// answerLinksQuery answers an operator's query for the state of the links.
+func (c *Core) answerLinksQuery(query LinksQuery) {
+	if reply, enabled := c.links.reply(c.now.Steady); enabled {
+		c.outputs = append(c.outputs, Answer{Ref: query.Ref, Status: 200, Body: reply})
 		return
 	}
-	c.out = append(c.out, Answer{Ref: x.Ref, Status: 404})
+	c.outputs = append(c.outputs, Answer{Ref: query.Ref, Status: 404})
 }
 
-func (c *Core) answer(ref uint64, a jobs.Answer) {
-	c.out = append(c.out, Answer{Ref: ref, Status: a.Status, Body: a.Body, RetryAfter: a.RetryAfter})
+func (c *Core) answer(ref uint64, answer jobs.Answer) {
+	c.outputs = append(c.outputs, Answer{Ref: ref, Status: answer.Status, Body: answer.Body, RetryAfter: answer.RetryAfter})
 }
 
-// advance lets every slice do what is due, in the order in which they depend
-// on each other.
+// advance runs the due work of every component, in the order of their dependencies.
 func (c *Core) advance() {
-	t := c.now.Steady
-	c.applyChanges()
+	now := c.now.Steady
+	c.applyMirrorChanges()
 	c.divideBudget()
-	c.ownership.Tick(t, c.fleet.Classes(), c.demand)
+	c.ownership.Tick(now, c.fleet.Classes(), c.demand)
 	if c.workersUnreachable() {
 		c.ownership.Handover(c.reachableSuccessor())
-		c.handedOverAt = t
+		c.handedOverAt = now
 	}
-	c.followClaims()
-	c.tendHeldReports()
+	c.applyClaims()
+	c.updateHeldReports()
 	c.manageMachines()
 	c.updateActiveJobs()
 	c.updateGangs()
-	may := c.ownership.MayLaunch()
-	if may && len(c.active) > 0 {
+	mayLaunch := c.ownership.MayLaunch()
+	if mayLaunch && len(c.activeTerms) > 0 {
 		c.writeMachineRecords()
 		c.allocate()
-		if t >= c.nextFleetPlan {
-			c.nextFleetPlan = t + limits.PlanInterval
+		if now >= c.nextFleetPlan {
+			c.nextFleetPlan = now + limits.PlanInterval
 			c.planFleet()
 		}
 	}
-	c.jobs.Tick(t, c.now.Unix, may && len(c.active) > 0, func(j *jobs.Job) bool { return !j.Frozen })
+	c.jobs.Tick(now, c.now.Unix, mayLaunch && len(c.activeTerms) > 0, func(j *jobs.Job) bool { return !j.Frozen })
 	c.messagePeers()
-	c.notifyOwners()
+	c.sendCancelNotices()
 	c.logKnowledge()
-	for _, call := range c.store.Tick(t) {
-		c.out = append(c.out, StoreCall{call})
+	for _, call := range c.store.Tick(now) {
+		c.outputs = append(c.outputs, StoreCall{call})
 	}
-	for _, call := range c.fleet.Tick(t, may && len(c.active) > 0, len(c.ownership.Owners())) {
-		c.out = append(c.out, CloudCall{call})
+	for _, call := range c.fleet.Tick(now, mayLaunch && len(c.activeTerms) > 0, len(c.ownership.Owners())) {
+		c.outputs = append(c.outputs, CloudCall{call})
 	}
 }
 
-// applyChanges passes the mirror's changes to the slices.
-func (c *Core) applyChanges() {
-	for _, ch := range c.store.Mirror.TakeChanges() {
-		c.ownership.Apply(ch)
-		c.jobs.Apply(ch)
-		c.machineTable.Apply(ch)
-		c.applyType(ch)
-		c.dirty = true
-		if !strings.HasPrefix(ch.Key, keyMachines) && !c.jobs.IsDoneSet(ch.Key) {
+// applyMirrorChanges passes the changes that the mirror received to the components.
+func (c *Core) applyMirrorChanges() {
+	for _, change := range c.store.Mirror.TakeChanges() {
+		c.ownership.Apply(change)
+		c.jobs.Apply(change)
+		c.machineTable.Apply(change)
+		c.applyMachineType(change)
+		c.schedulingDue = true
+		if !strings.HasPrefix(change.Key, keyMachines) && !c.jobs.IsDoneSetKey(change.Key) {
 			c.jobsChanged = true
 		}
 	}
 }
 
-// age converts a time of day to an age; clocks differ, so it is never negative.
+// age returns the time since a Unix time, at least 0: the clocks of machines differ.
 func (c *Core) age(unix float64) time.Duration {
 	return limits.Seconds(max(0, c.now.Unix-unix))
 }
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -36,12 +36,12 @@
 			if h == nil || h.tasks[jobs.TaskID(j.ID, task)].job != j {
 				return fmt.Errorf("%s/%d is placed on %s, which doesn't know it", j.ID, task, p.Machine)
 			}
-			used[p.Machine] = used[p.Machine].Add(need(j), 1)
+			used[p.Machine] = used[p.Machine].Add(taskResources(j), 1)
 			on[p.Machine]++
 			if booked[j.Team] == nil {
 				booked[j.Team] = map[string]allocation.Resources{}
 			}
-			booked[j.Team][h.class] = booked[j.Team][h.class].Add(need(j), 1)
+			booked[j.Team][h.class] = booked[j.Team][h.class].Add(taskResources(j), 1)
 		}
 	}
 	same := func(a, b allocation.Resources) bool { return a.Fits(b) && b.Fits(a) }
@@ -53,12 +53,12 @@
 				planned++
 			}
 			if c.jobs.Open[p.job.ID] != p.job { // over, until a report shows it gone
-				used[id] = used[id].Add(need(p.job), 1)
+				used[id] = used[id].Add(taskResources(p.job), 1)
 				on[id]++
 				if booked[p.job.Team] == nil {
 					booked[p.job.Team] = map[string]allocation.Resources{}
 				}
-				booked[p.job.Team][h.class] = booked[p.job.Team][h.class].Add(need(p.job), 1)
+				booked[p.job.Team][h.class] = booked[p.job.Team][h.class].Add(taskResources(p.job), 1)
 			}
 		}
 		if len(h.tasks) != on[id] || planned != h.planned || !same(h.used, used[id]) {
@@ -221,7 +221,7 @@
 	c := testCore(t)
 	for name, cpus := range map[string]float64{"small": 8, "large": 16} {
 		c.fleet.Types[name] = &wire.MachineType{Name: name, CPUs: cpus, MemoryGB: 64, Price: 1, SpotPrice: 0.5, BootS: 10, Zones: []string{"a"}}
-		c.active[name] = 5
+		c.activeTerms[name] = 5
 	}
 	open := func(id string, cpus float64, types ...string) *jobs.Job {
 		raw, err := wire.Encode(&wire.Job{ID: id, Team: "red", Tasks: 12, CPUs: cpus, Types: types, Spot: true, EstimateS: 30})
@@ -239,7 +239,7 @@
 	}
 	open("job-2", 16, "large")
 	large := &allocation.Unit{Job: "job-2", Need: allocation.Resources{CPUs: 16}, Count: 5, Classes: map[string]bool{"large": true}}
-	w := &rentalPlan{counts: map[fleet.Kind]int{}, refused: []*allocation.Unit{large}}
+	w := &rentalPlan{counts: map[fleet.Kind]int{}, refusedUnits: []*allocation.Unit{large}}
 	c.rentForSmallTasks(w, nil)
 	if n := w.counts[fleet.Kind{Class: "small", Zone: "a", Spot: true}]; n != 2 {
 		t.Errorf("%d small machines wished for the 16 CPUs that small tasks take", n)
@@ -250,7 +250,7 @@
 	returned := func() bool {
 		for _, at := range []time.Duration{100, 200} {
 			c.now.Steady = at * time.Second
-			c.returnIdle(nil)
+			c.returnIdleMachines(nil)
 		}
 		return idle.Deleting
 	}
--- a/internal/controller/deposed_owner_test.go
+++ b/internal/controller/deposed_owner_test.go
@@ -156,5 +156,5 @@
 	if !n.core.ownership.MayAnswer() {
 		return 0
 	}
-	return n.core.active[class]
+	return n.core.activeTerms[class]
 }
--- a/internal/controller/direct.go
+++ b/internal/controller/direct.go
@@ -11,18 +11,18 @@
 	"umberpaddle/internal/workers"
 )
 
-// DirectCall is a message straight to a worker, DirectReply what came of it. Unsent
-// tells that no connection was made: the worker certainly got nothing.
+// DirectCall is an order sent straight to a worker, and DirectReply is its outcome.
 type (
-	// DirectCall is launches for a worker that need not wait for its next report. It
-	// must not leave after Until.
+	// DirectCall carries commands to a worker without waiting for its next report. It must not be
+	// sent after Until.
 	DirectCall struct {
 		ID      uint64
 		Address string
 		Body    wire.Orders
 		Until   time.Duration
 	}
-	// DirectReply is the answer to a DirectCall; status 0 is none.
+	// DirectReply is the answer to a DirectCall. Status 0 means no answer. Unsent means that no
+	// connection was made, so the worker cannot have received the order.
 	DirectReply struct {
 		ID     uint64
 		Status int
@@ -31,102 +31,102 @@
 	}
 )
 
-// directCall is a DirectCall under way.
+// directCall is the state of a DirectCall in flight.
 type directCall struct {
 	machine  string
 	session  uint64
 	term     uint64
 	tasks    []taskRef
-	attempts []uint64 // their attempts
-	probe    bool     // launches nothing: what does the machine run?
-	fence    bool     // launches nothing: the machine is to see our token
-	repeat   bool     // of a fence
+	attempts []uint64 // attempt numbers, in the order of tasks
+	probe    bool     // launches nothing; asks for the machine's task list
+	fence    bool     // launches nothing; shows the worker this owner's fencing token
+	repeat   bool     // the call is a repeated fence
 }
 
-// sendDirectLaunches tells machines at once what was planned for them, so many at a time as
-// limits.DirectInFlight allows; the others wait for the answers of these, or for their own next
-// reports. Unlike an answer to a report, an order may be executed at any later time while token
-// and session match. So until it is answered, a report without its attempts proves nothing,
-// and one that is never answered counts as possible for the whole session.
+// sendDirectLaunches sends planned launches to their machines at once, up to limits.DirectInFlight
+// orders at a time. The remaining launches wait until one of these orders is answered, or for the
+// machine's next report. Unlike an answer to a report, an order may be executed at any later time
+// while token and session match. So until the order is answered, a report that lacks its attempts
+// proves nothing, and an order that is never answered may take effect as long as the session lasts.
 func (c *Core) sendDirectLaunches() {
 	sent := 0
-	for _, id := range c.plannedMachines {
+	for _, machineID := range c.plannedMachines {
 		if len(c.directCalls)-c.probesInFlight-c.fencesInFlight >= limits.DirectInFlight {
 			break
 		}
 		sent++
-		if m, load := c.pool.Machines[id], c.loads[id]; c.mayOrderDirectly(m, load) {
-			c.sendLaunches(m, load)
+		if machine, load := c.pool.Machines[machineID], c.loads[machineID]; c.mayOrderDirectly(machine, load) {
+			c.sendLaunches(machine, load)
 		}
 	}
 	c.plannedMachines = slices.Delete(c.plannedMachines, 0, sent)
 }
 
-// mayOrderDirectly tells whether what is planned for a machine may be sent straight to it.
-func (c *Core) mayOrderDirectly(m *workers.Machine, load *machineLoad) bool {
-	if m == nil || load == nil || load.planned == 0 || m.DirectInFlight || m.Address == "" {
+// mayOrderDirectly reports whether the launches planned for a machine may be sent straight to it.
+func (c *Core) mayOrderDirectly(machine *workers.Machine, load *machineLoad) bool {
+	if machine == nil || load == nil || load.planned == 0 || machine.DirectInFlight || machine.Address == "" {
 		return false
 	}
-	silent := c.now.Steady - m.LastReport
-	return silent <= c.pool.Report+limits.DirectSlack && m.Usable(c.now.Steady, c.pool.Report) && c.machineRecords[m.ID].Up
+	silence := c.now.Steady - machine.LastReport
+	return silence <= c.pool.Report+limits.DirectSlack && machine.Usable(c.now.Steady, c.pool.Report) && c.machineRecords[machine.ID].Up
 }
 
-// sendLaunches sends a machine an order with the launches that are planned for it.
-func (c *Core) sendLaunches(m *workers.Machine, load *machineLoad) {
-	call := &directCall{machine: m.ID, session: m.Session, term: m.Term}
+// sendLaunches sends a machine an order with its planned launches.
+func (c *Core) sendLaunches(machine *workers.Machine, load *machineLoad) {
+	call := &directCall{machine: machine.ID, session: machine.Session, term: machine.Term}
 	var commands []wire.Command
-	for _, task := range load.plannedTaskIDs() {
-		ref := load.tasks[task]
+	for _, taskID := range load.plannedTaskIDs() {
+		ref := load.tasks[taskID]
 		if len(commands) >= limits.MaxCommands || ref.job.Cancelled {
-			continue // goes, or is taken back, with the next report
+			continue // launched or unassigned with the next report
 		}
 		assignment := ref.job.Assigned[ref.task]
-		assignment.State, assignment.Delivery, assignment.Session = jobs.Sent, jobs.DirectPending, m.Session
+		assignment.State, assignment.Delivery, assignment.Session = jobs.Sent, jobs.DirectPending, machine.Session
 		c.assign(ref.job, ref.task, assignment)
 		call.tasks = append(call.tasks, ref)
 		call.attempts = append(call.attempts, assignment.Attempt)
-		m.Orders[assignment.Attempt] = &workers.Order{Task: task, SentAt: c.now.Steady}
-		commands = append(commands, wire.Command{Verb: wire.VerbLaunch, Task: task, Attempt: assignment.Attempt})
+		machine.Orders[assignment.Attempt] = &workers.Order{Task: taskID, SentAt: c.now.Steady}
+		commands = append(commands, wire.Command{Verb: wire.VerbLaunch, Task: taskID, Attempt: assignment.Attempt})
 	}
 	if len(commands) == 0 {
 		return
 	}
-	m.DirectInFlight = true
-	c.lastDirectCall++
-	c.directCalls[c.lastDirectCall] = call
-	orders := wire.Orders{Token: m.Term, Session: m.Session, Commands: commands}
-	c.out = append(c.out, DirectCall{ID: c.lastDirectCall, Address: m.Address, Body: orders, Until: c.ownership.ActUntil()})
+	machine.DirectInFlight = true
+	c.lastDirectCallID++
+	c.directCalls[c.lastDirectCallID] = call
+	orders := wire.Orders{Token: machine.Term, Session: machine.Session, Commands: commands}
+	c.outputs = append(c.outputs, DirectCall{ID: c.lastDirectCallID, Address: machine.Address, Body: orders, Until: c.ownership.AnswerDeadline()})
 }
 
-// directReplied takes in what came of an order.
-func (c *Core) directReplied(x DirectReply) {
-	call := c.directCalls[x.ID]
+// handleDirectReply processes the outcome of an order.
+func (c *Core) handleDirectReply(reply DirectReply) {
+	call := c.directCalls[reply.ID]
 	if call == nil {
 		return
 	}
-	delete(c.directCalls, x.ID)
+	delete(c.directCalls, reply.ID)
 	if call.fence {
-		c.fenceReplied(call, x)
+		c.handleFenceReply(call, reply)
 		return
 	}
 	if call.probe {
 		c.probesInFlight--
 	}
-	m := c.pool.Machines[call.machine]
-	if m != nil {
-		m.DirectInFlight = false
+	machine := c.pool.Machines[call.machine]
+	if machine != nil {
+		machine.DirectInFlight = false
 	}
 	switch {
-	case m == nil:
+	case machine == nil:
 	case call.probe:
-		c.probeReplied(m, call, x)
+		c.handleProbeReply(machine, call, reply)
 	default:
-		c.launchesReplied(m, call, x)
+		c.handleLaunchReply(machine, call, reply)
 	}
 	c.answerHeldReport(call.machine)
-	// What was planned while the order was under way goes at once, but only to a worker that answers:
-	// guards against calls without a pause to one that refuses connections.
-	if load := c.loads[call.machine]; x.Status == 200 && load != nil && load.planned > 0 {
+	// Launches planned while the order was in flight are sent at once, but only to a worker that
+	// answered. Otherwise a worker that refuses connections would be called without any pause.
+	if load := c.loads[call.machine]; reply.Status == 200 && load != nil && load.planned > 0 {
 		c.plannedMachines = append(c.plannedMachines, call.machine)
 	}
 	if c.ownership.MayLaunch() {
@@ -134,20 +134,20 @@
 	}
 }
 
-// launchesReplied takes in what came of an order that launches tasks.
-func (c *Core) launchesReplied(m *workers.Machine, call *directCall, x DirectReply) {
-	if m.Term != call.term || m.Session != call.session {
-		return // the order is void by now, and reconcile has judged its tasks
+// handleLaunchReply processes the outcome of an order that launches tasks.
+func (c *Core) handleLaunchReply(machine *workers.Machine, call *directCall, reply DirectReply) {
+	if machine.Term != call.term || machine.Session != call.session {
+		return // the order is void, and reconcile has already processed its tasks
 	}
-	answered := x.Status == 200 || x.Status == 409 || x.Status == 400
+	answered := reply.Status == 200 || reply.Status == 409 || reply.Status == 400
 	for i, ref := range call.tasks {
 		assignment, ok := ref.job.Assigned[ref.task]
-		settleOrder(m, call.attempts[i], answered, x.Unsent)
+		recordOrderOutcome(machine, call.attempts[i], answered, reply.Unsent)
 		if !ok || assignment.Attempt != call.attempts[i] || assignment.Delivery != jobs.DirectPending {
 			continue
 		}
 		switch {
-		case x.Unsent:
+		case reply.Unsent:
 			assignment.State, assignment.Delivery = jobs.Planned, jobs.InReply
 		case answered:
 			assignment.Delivery = jobs.DirectConfirmed
@@ -156,140 +156,141 @@
 		}
 		c.assign(ref.job, ref.task, assignment)
 	}
-	if x.Status != 200 && x.Status != 409 {
+	if reply.Status != 200 && reply.Status != 409 {
 		return
 	}
-	r := &wire.Report{}
-	if wire.Decode(x.Body, r) != nil || r.Machine != m.ID || !c.pool.ReceiveDirect(c.now.Steady, m, r) {
+	report := &wire.Report{}
+	if wire.Decode(reply.Body, report) != nil || report.Machine != machine.ID || !c.pool.ReceiveDirect(c.now.Steady, machine, report) {
 		return
 	}
-	c.dirty = true
-	// The commands that follow are sent with the answer to the next report.
-	c.reconcile(m, nil, true)
+	c.schedulingDue = true
+	// The resulting commands are sent with the answer to the next report.
+	c.reconcile(machine, nil, true)
 }
 
-// settleOrder takes note of what came of an order for an attempt.
-func settleOrder(m *workers.Machine, attempt uint64, answered, unsent bool) {
-	order := m.Orders[attempt]
+// recordOrderOutcome updates the state of the order for an attempt.
+func recordOrderOutcome(machine *workers.Machine, attempt uint64, answered, unsent bool) {
+	order := machine.Orders[attempt]
 	switch {
 	case order == nil:
 	case unsent:
-		delete(m.Orders, attempt)
+		delete(machine.Orders, attempt)
 	case answered:
 		order.State = workers.OrderAnswered
 	default:
-		// It may still be carried out, even after a clear.
+		// The worker may still carry out the order, even after the attempt was cleared.
 		order.State = workers.OrderUnanswered
 	}
 }
 
-// probeSilent asks machines that were not heard in time what they run, by an order
-// without commands: their workers may hang on another node, which answers nothing,
-// or look for this one. Guards against the return of healthy machines, and against
-// jobs that waited for them, when a controller stood still.
-func (c *Core) probeSilent() {
-	t := c.now.Steady
+// probeSilentMachines asks machines whose report is late for their task list, by an order without
+// commands: their workers may be waiting for another node that doesn't answer, or searching for
+// this node. Without the probes, healthy machines are returned and jobs wait for them after a
+// controller was paused.
+func (c *Core) probeSilentMachines() {
+	now := c.now.Steady
 	if !c.ownership.MayLaunch() {
 		return
 	}
-	for _, m := range c.pool.Sorted() {
+	for _, machine := range c.pool.Sorted() {
 		if c.probesInFlight >= limits.ProbesInFlight {
 			return
 		}
-		if m.DirectInFlight || m.Deleting || m.Lost || m.Address == "" || t < m.NextProbe || t-m.LastReport <= c.pool.Report*5/4+limits.ProbeAfter {
+		if machine.DirectInFlight || machine.Deleting || machine.Lost || machine.Address == "" || now < machine.NextProbe || now-machine.LastReport <= c.pool.Report*5/4+limits.ProbeAfter {
 			continue
 		}
-		m.NextProbe = t + limits.ProbeInterval
-		c.sendUntracked(m, max(m.Session, m.ProbeSession), []wire.Command{})
+		machine.NextProbe = now + limits.ProbeInterval
+		c.sendUntracked(machine, max(machine.Session, machine.ProbeSession), []wire.Command{})
 	}
 }
 
-// sendUntracked sends a machine commands that need no account of their own, or none: stops may
-// be carried out late, and again. The answer tells what it runs.
-func (c *Core) sendUntracked(m *workers.Machine, session uint64, cmds []wire.Command) {
-	term := c.active[m.Class]
-	m.DirectInFlight = true
+// sendUntracked sends a machine commands that need no tracking (stops, which may be carried out
+// late and more than once), or no commands at all. The answer lists the machine's tasks.
+func (c *Core) sendUntracked(machine *workers.Machine, session uint64, commands []wire.Command) {
+	term := c.activeTerms[machine.Class]
+	machine.DirectInFlight = true
 	c.probesInFlight++
-	c.lastDirectCall++
-	c.directCalls[c.lastDirectCall] = &directCall{machine: m.ID, session: session, term: term, probe: true}
-	c.out = append(c.out, DirectCall{ID: c.lastDirectCall, Address: m.Address, Body: wire.Orders{Token: term, Session: session, Commands: cmds}, Until: c.ownership.ActUntil()})
+	c.lastDirectCallID++
+	c.directCalls[c.lastDirectCallID] = &directCall{machine: machine.ID, session: session, term: term, probe: true}
+	c.outputs = append(c.outputs, DirectCall{ID: c.lastDirectCallID, Address: machine.Address, Body: wire.Orders{Token: term, Session: session, Commands: commands}, Until: c.ownership.AnswerDeadline()})
 }
 
-// probeReplied takes in what a machine answered that was asked what it runs.
-func (c *Core) probeReplied(m *workers.Machine, call *directCall, x DirectReply) {
-	if c.active[m.Class] != call.term {
+// handleProbeReply processes the outcome of a probe.
+func (c *Core) handleProbeReply(machine *workers.Machine, call *directCall, reply DirectReply) {
+	if c.activeTerms[machine.Class] != call.term {
 		return
 	}
-	r := reportIn(m, x)
-	if r == nil {
-		m.ProbeFailed = true
+	report := decodeOrderReply(machine, reply)
+	if report == nil {
+		machine.ProbeFailed = true
 		return
 	}
-	c.takeProbe(m, call, r)
+	c.acceptProbeReport(machine, call, report)
 }
 
-// reportIn reads the report that a worker answers an order with; nil: there is none.
-func reportIn(m *workers.Machine, x DirectReply) *wire.Report {
-	r := &wire.Report{}
-	if (x.Status != 200 && x.Status != 409) || wire.Decode(x.Body, r) != nil || r.Machine != m.ID {
+// decodeOrderReply returns the report in a worker's answer to an order, or nil if there is none.
+func decodeOrderReply(machine *workers.Machine, reply DirectReply) *wire.Report {
+	report := &wire.Report{}
+	if (reply.Status != 200 && reply.Status != 409) || wire.Decode(reply.Body, report) != nil || report.Machine != machine.ID {
 		return nil
 	}
-	return r
+	return report
 }
 
-// takeProbe takes in the report of a machine that was asked what it runs.
-func (c *Core) takeProbe(m *workers.Machine, call *directCall, r *wire.Report) {
-	resolved, found := m.Resolved(), m.Term == call.term
-	if !c.pool.ReceiveProbe(c.now.Steady, m, r, call.term, call.session) {
+// acceptProbeReport processes the report in a worker's answer to a probe or a fence.
+func (c *Core) acceptProbeReport(machine *workers.Machine, call *directCall, report *wire.Report) {
+	wasResolved, alreadyReported := machine.Resolved(), machine.Term == call.term
+	if !c.pool.ReceiveProbe(c.now.Steady, machine, report, call.term, call.session) {
 		return
 	}
-	// Guards against machines that a new owner returned as never come up, with their
-	// tasks, although they had answered it.
-	if rent := c.fleet.Track(m.ID, kindOf(m), c.now.Steady); rent != nil {
-		rent.Up = true
+	// Without this, a new owner would return a machine that answered its probe, together with the
+	// machine's tasks, as one that never came up.
+	if rental := c.fleet.Track(machine.ID, rentalKind(machine), c.now.Steady); rental != nil {
+		rental.Up = true
 	}
-	c.recordReport(m, found)
-	c.log(slog.LevelDebug, "silent machine answered", "machine", m.ID, "session", r.Session, "tasks", len(r.Tasks))
-	c.dirty, c.fleetChanged = true, true
-	c.jobsChanged = c.jobsChanged || !resolved
-	c.reconcile(m, nil, true)
+	c.recordReportTime(machine, alreadyReported)
+	c.log(slog.LevelDebug, "silent machine answered", "machine", machine.ID, "session", report.Session, "tasks", len(report.Tasks))
+	c.schedulingDue, c.fleetChanged = true, true
+	c.jobsChanged = c.jobsChanged || !wasResolved
+	c.reconcile(machine, nil, true)
 }
 
-// repeatLaunches lists the launches whose order was never answered and which no report
-// shows: the answer to a report repeats them, and the worker ignores what it has.
-func (c *Core) repeatLaunches(m *workers.Machine, cmds []wire.Command) []wire.Command {
-	if !m.HasUnansweredOrders() {
-		return cmds
+// repeatLaunches appends the launches whose order was never answered and that no report has shown.
+// The answer to a report repeats them, and the worker ignores the attempts that it already has.
+func (c *Core) repeatLaunches(machine *workers.Machine, commands []wire.Command) []wire.Command {
+	if !machine.HasUnansweredOrders() {
+		return commands
 	}
-	load := c.loads[m.ID]
-	for _, id := range load.taskIDs() {
-		ref := load.tasks[id]
+	load := c.loads[machine.ID]
+	for _, taskID := range load.taskIDs() {
+		ref := load.tasks[taskID]
 		assignment := ref.job.Assigned[ref.task]
-		if assignment.Delivery != jobs.DirectUnknown || ref.job.Cancelled || len(cmds) >= limits.MaxCommands {
+		if assignment.Delivery != jobs.DirectUnknown || ref.job.Cancelled || len(commands) >= limits.MaxCommands {
 			continue
 		}
-		cmds = append(cmds, wire.Command{Verb: wire.VerbLaunch, Task: id, Attempt: assignment.Attempt})
+		commands = append(commands, wire.Command{Verb: wire.VerbLaunch, Task: taskID, Attempt: assignment.Attempt})
 		if ref.job.Gang && ref.job.GangRun.Ending {
-			// Only to be sure that it is gone: the next attempt waits for that.
-			cmds = append(cmds, wire.Command{Verb: wire.VerbStop, Task: id, Attempt: assignment.Attempt})
+			// Stop the attempt again to be sure that it is gone: the next gang attempt waits for
+			// it.
+			commands = append(commands, wire.Command{Verb: wire.VerbStop, Task: taskID, Attempt: assignment.Attempt})
 		}
 	}
-	return cmds
+	return commands
 }
 
-// mayClear tells whether the worker may forget an ended attempt. Guards against
-// an order that is carried out late, or twice, after the clear: it would start
-// the attempt again, perhaps while the task runs elsewhere. A completed task that
-// is started again exits at once, so it need not be held unless it is cancelled.
-func (c *Core) mayClear(m *workers.Machine, j *jobs.Job, t wire.TaskReport) bool {
-	order := m.Orders[t.Attempt]
+// mayClear reports whether the worker may forget an ended attempt. An order that is carried out
+// late or twice, after the clear, would start the attempt again, perhaps while the task runs on
+// another machine. A completed task that is started again exits at once, so its attempt needs to be
+// kept only if the job is cancelled.
+func (c *Core) mayClear(machine *workers.Machine, job *jobs.Job, report wire.TaskReport) bool {
+	order := machine.Orders[report.Attempt]
 	if order == nil {
 		return true
 	}
 	if order.State == workers.OrderUnanswered {
 		return false
 	}
-	if t.Cause == wire.CauseDone && (j == nil || !j.Cancelled) {
+	if report.Cause == wire.CauseDone && (job == nil || !job.Cancelled) {
 		return true
 	}
 	return c.now.Steady-order.SentAt > time.Duration(limits.ClearLeases*float64(c.pool.Lease))
--- a/internal/controller/direct_launches_test.go
+++ b/internal/controller/direct_launches_test.go
@@ -64,7 +64,7 @@
 			if !o.core.ownership.MayLaunch() {
 				t.Fatal("the owner may start nothing: the test shows nothing")
 			}
-			reply.ID = o.core.lastDirectCall
+			reply.ID = o.core.lastDirectCallID
 			for _, out := range o.step(reply) {
 				if call, ok := out.(DirectCall); ok && call.Address == o.machine.Address {
 					t.Error("another order was sent at once")
--- a/internal/controller/earlier_orders_test.go
+++ b/internal/controller/earlier_orders_test.go
@@ -177,12 +177,12 @@
 	unchecked bool // answers leave without a second look
 }
 
-func (j trustingJudge) JudgeRenewal(r authority.Renewal) authority.Verdict {
+func (j trustingJudge) DecideRenewal(r authority.RenewalInput) authority.Decision {
 	r.EarlierOrders = nil
-	return j.Rules.JudgeRenewal(r)
+	return j.Rules.DecideRenewal(r)
 }
 
-func (j trustingJudge) CheckAnswer(r authority.Renewal, commands []wire.Command) error {
+func (j trustingJudge) CheckAnswer(r authority.RenewalInput, commands []wire.Command) error {
 	if j.unchecked {
 		r.EarlierOrders = nil
 	}
@@ -194,7 +194,7 @@
 func TestForgottenEarlierOrdersAreCaught(t *testing.T) {
 	for _, x := range []struct {
 		name   string
-		judge  authority.Judge
+		judge  authority.RenewalPolicy
 		breaks string
 	}{
 		{"unchecked", trustingJudge{unchecked: true}, "ran_cancelled"},
@@ -203,7 +203,7 @@
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(1); seed <= guardOutSeeds; seed++ {
-				for _, b := range playHeldOrder(seed, func(c *Core) { c.judge = x.judge }, nil).broken {
+				for _, b := range playHeldOrder(seed, func(c *Core) { c.renewalRules = x.judge }, nil).broken {
 					if strings.HasPrefix(b, x.breaks) {
 						return
 					}
@@ -237,9 +237,9 @@
 			record.Up = false
 			o.core.machineRecords[o.machine.ID] = record
 		}, false},
-		{"told a moment ago", func(o *ownerOfLongTasks, j *jobs.Job) { j.ToldAfter = o.now - time.Second }, false},
-		{"told too long ago, by a hair", func(o *ownerOfLongTasks, j *jobs.Job) { j.ToldAfter = o.now - o.core.ownership.MaxStaleness }, true},
-		{"told at an unknown time", func(_ *ownerOfLongTasks, j *jobs.Job) { j.ToldAfter = jobs.ToldLongAgo }, true},
+		{"told a moment ago", func(o *ownerOfLongTasks, j *jobs.Job) { j.CancelConfirmedAfter = o.now - time.Second }, false},
+		{"told too long ago, by a hair", func(o *ownerOfLongTasks, j *jobs.Job) { j.CancelConfirmedAfter = o.now - o.core.ownership.MaxStaleness }, true},
+		{"told at an unknown time", func(_ *ownerOfLongTasks, j *jobs.Job) { j.CancelConfirmedAfter = jobs.ConfirmedAtAnyTime }, true},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			o := newOwnerOfLongTasks(t)
@@ -347,7 +347,7 @@
 		o := newOwnerOfLongTasks(t)
 		o.cancelLongAgo()
 		o.core.sendUntracked(o.machine, o.machine.Session, []wire.Command{})
-		question := o.fenceOf(o.core.flush())
+		question := o.fenceOf(o.core.takeOutputs())
 		if out := o.reportUnfenced(o.machine.Term - 1); o.fenceOf(out) == nil || len(answersOf(out)) > 0 {
 			t.Fatalf("not held: %+v", out)
 		}
@@ -356,8 +356,8 @@
 	})
 	t.Run("the class is given up", func(t *testing.T) {
 		o, fence := held(t)
-		delete(o.core.active, o.machine.Class)
-		o.core.leaveClass(o.machine.Class)
+		delete(o.core.activeTerms, o.machine.Class)
+		o.core.releaseClass(o.machine.Class)
 		mustGet(t, o.step(DirectReply{ID: fence.ID, Status: 200, Body: listOf(o, o.machine.Session)}), 503)
 	})
 }
@@ -366,10 +366,10 @@
 // end a moment later: whoever is back first knows no time at which users were told, so that every machine
 // that ran tasks is a suspect. It tells how many workers' sessions have ended, with all that ran in them,
 // and what the owner counted.
-func coldStartWithCancelledJobs(machines int, judge authority.Judge) (w *simulation, sessionsEnded int, counts renewalCounts) {
+func coldStartWithCancelledJobs(machines int, judge authority.RenewalPolicy) (w *simulation, sessionsEnded int, counts renewalCounts) {
 	w = newLargeWorld(3, machines, false, 1)
 	w.cached = true
-	w.sabotage = func(c *Core) { c.judge = judge }
+	w.sabotage = func(c *Core) { c.renewalRules = judge }
 	for i := range machines / 20 {
 		w.schedule(w.between(8, 10), func() { w.user(fmt.Sprintf("job-%06d", i), spec("blue", 40, 4, 400), 400) })
 	}
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -9,75 +9,76 @@
 	"umberpaddle/internal/wire"
 )
 
-// Now is the time that an input brings along.
+// Now is the current time when an input is processed.
 type Now struct {
-	Steady time.Duration // steady clock, from any origin
-	Unix   float64       // time of day in seconds
+	Steady time.Duration // monotonic clock with an arbitrary origin
+	Unix   float64       // wall clock, in seconds since the Unix epoch
 }
 
-// Input is something that happened, for Core.Step.
+// Input is an event for Core.Step to process.
 type Input interface{ input() }
 
-// Inputs of the core.
+// Inputs of the core. Ref identifies a request: its Answer carries the same Ref.
 type (
-	// Tick lets time pass.
+	// Tick is a timer event: it runs the work that has become due.
 	Tick struct{}
-	// Submit is a submission; Query and Cancel are about a job.
+	// Submit is a user's submission of a job.
 	Submit struct {
 		Ref  uint64
 		Body []byte
 	}
-	// Query asks for a job's state.
+	// Query is a user's request for a job's state.
 	Query struct {
 		Ref uint64
 		ID  string
 	}
-	// Cancel cancels a job.
+	// Cancel is a user's request to cancel a job.
 	Cancel struct {
 		Ref uint64
 		ID  string
 	}
-	// Ready asks whether the node takes requests.
+	// Ready is a readiness check: whether the node accepts requests of users.
 	Ready struct{ Ref uint64 }
-	// LinksQuery asks what this controller knows of links.
+	// LinksQuery is an operator's request for the state of the links, as this controller sees it.
 	LinksQuery struct{ Ref uint64 }
 	// Checkin is a worker's report.
 	Checkin struct {
 		Ref    uint64
 		Report *wire.Report
 	}
-	// StoreReply is what came of a call to the state service.
+	// StoreReply is the result of a StoreCall.
 	StoreReply struct {
 		ID     uint64
 		Status int
 		Body   []byte
 	}
-	// CloudReply is what came of a call to the cloud.
+	// CloudReply is the result of a CloudCall.
 	CloudReply struct {
 		ID     uint64
 		Status int
 		Body   []byte
 	}
-	// PeerReply is a peer's answer to a PeerCall; the empty one stands for none.
+	// PeerReply is the result of a PeerCall. Unanswered is set, and Answer is empty, if the peer
+	// did not answer.
 	PeerReply struct {
 		Call       PeerCall
 		Answer     PeerAnswer
 		Unanswered bool
 	}
-	// PeerRequest is a peer's PeerCall as it arrives here.
+	// PeerRequest is a message received from a peer.
 	PeerRequest struct {
 		Ref uint64
 		Msg PeerMessage
 	}
 )
 
-// Output is something to do outside, as Core.Step returns it.
+// Output is an action that Core.Step asks its caller to perform.
 type Output interface{ output() }
 
 // Outputs of the core.
 type (
-	// Answer answers the input with the same Ref. It must not leave after Until, if
-	// that is set.
+	// Answer is the response to the input with the same Ref. If Until is set, the answer must
+	// not be sent after that time.
 	Answer struct {
 		Ref        uint64
 		Status     int
@@ -85,22 +86,22 @@
 		RetryAfter int
 		Until      time.Duration
 	}
-	// StoreCall is a request to the state service, CloudCall one to the cloud.
+	// StoreCall is a request to the state service.
 	StoreCall struct{ statestore.Call }
-	// CloudCall is a request to the cloud.
+	// CloudCall is a request to the cloud API.
 	CloudCall struct{ fleet.Call }
-	// Log is a line for the operator.
+	// Log is a log line.
 	Log struct {
 		Level slog.Level
 		Msg   string
 		Args  []any
 	}
-	// PeerCall is a message to a peer.
+	// PeerCall is a message to a peer. Sent is the time at which Step returned it.
 	PeerCall struct {
 		Peer   string
 		Sent   time.Duration
 		Msg    PeerMessage
-		Number uint64 // among the calls to peers, if links are monitored
+		Number uint64 // sequence number among the calls to peers; 0 unless links are monitored
 	}
 )
 
--- a/internal/controller/fault_injection_test.go
+++ b/internal/controller/fault_injection_test.go
@@ -74,7 +74,7 @@
 	})
 	for seed := uint64(1); seed <= 5; seed++ {
 		if _, lost := play(standardConfig(), seed, func(c *Core) {
-			if len(c.active) > 0 {
+			if len(c.activeTerms) > 0 {
 				c.lastReport, c.lastArrival = c.now.Steady, c.now.Steady // takes itself for heard
 			}
 		}); lost > 0 {
--- a/internal/controller/fences.go
+++ b/internal/controller/fences.go
@@ -12,72 +12,75 @@
 	"umberpaddle/internal/workers"
 )
 
-// heldReport is a report whose answer waits until its machine has seen our token.
+// heldReport is a report whose answer waits until its worker has seen this owner's fencing token.
 type heldReport struct {
 	checkin  Checkin
 	deadline time.Duration
-	// orders is how many fences were sent for it, and nextOrder when another one is due.
-	orders    int
-	nextOrder time.Duration
+	// fencesSent is the number of fences sent for this report, and nextFence is when the next one
+	// is due.
+	fencesSent int
+	nextFence  time.Duration
 }
 
-// fenceFirst holds the answer to a report, and sends its machine a fence: an order without commands
-// that shows it our token. From then on the worker refuses the orders of earlier owners, and its answer lists
-// what they have started. Guards against a cancelled task that such an order started between a
-// report and its answer: nobody knew of it, and it ran for a whole lease.
-func (c *Core) fenceFirst(x Checkin, m *workers.Machine, v authority.Verdict) {
-	if earlier := c.heldReports[m.ID]; earlier != nil {
-		c.refuseReport(earlier.checkin) // its worker has given it up
+// holdForFence holds the answer to a report and sends the worker a fence: an order without commands
+// that carries this owner's fencing token. From then on the worker refuses the orders of earlier
+// owners, and its answer to the fence lists what they have started. Without the fence, an earlier
+// owner's order may start a cancelled task between the report and its answer; no controller sees
+// the task, and it runs for a whole lease.
+func (c *Core) holdForFence(checkin Checkin, machine *workers.Machine, verdict authority.Decision) {
+	if earlier := c.heldReports[machine.ID]; earlier != nil {
+		c.refuseReport(earlier.checkin) // the worker has given up waiting for this answer
 	}
 	c.renewals.FenceHeld++
-	c.log(slog.LevelDebug, "renewal waits for a fence", "machine", m.ID, "session", m.Session, "term", m.Term, "token", x.Report.Token, "job", v.CauseJob)
-	c.heldReports[m.ID] = &heldReport{checkin: x, deadline: c.now.Steady + limits.FenceWait}
-	c.fenceQueue = append(c.fenceQueue, m.ID)
+	c.log(slog.LevelDebug, "renewal waits for a fence", "machine", machine.ID, "session", machine.Session, "term", machine.Term, "token", checkin.Report.Token, "job", verdict.CauseJob)
+	c.heldReports[machine.ID] = &heldReport{checkin: checkin, deadline: c.now.Steady + limits.FenceWait}
+	c.fenceQueue = append(c.fenceQueue, machine.ID)
 	c.sendQueuedFences()
 }
 
-// sendQueuedFences sends the first fences that wait for their turn.
+// sendQueuedFences sends queued first fences up to the limit on fences in flight.
 func (c *Core) sendQueuedFences() {
 	for len(c.fenceQueue) > 0 && c.fencesInFlight < limits.FencesInFlight {
-		machine := c.fenceQueue[0]
+		machineID := c.fenceQueue[0]
 		c.fenceQueue = c.fenceQueue[1:]
-		if held := c.heldReports[machine]; held != nil && held.orders == 0 {
-			c.sendFence(machine, held)
+		if held := c.heldReports[machineID]; held != nil && held.fencesSent == 0 {
+			c.sendFence(machineID, held)
 		}
 	}
 }
 
-// sendFence sends a fence for a held report. It may leave beside other orders: it launches nothing.
-func (c *Core) sendFence(machine string, held *heldReport) {
-	m := c.pool.Machines[machine]
-	if m == nil {
+// sendFence sends a fence for a held report. It may be in flight together with other orders to the
+// same machine, since it launches nothing.
+func (c *Core) sendFence(machineID string, held *heldReport) {
+	machine := c.pool.Machines[machineID]
+	if machine == nil {
 		return
 	}
-	call := &directCall{machine: m.ID, session: held.checkin.Report.Session, term: m.Term, fence: true, repeat: held.orders > 0}
-	held.nextOrder = c.now.Steady + limits.FenceRepeatAfter<<held.orders
-	held.orders++
+	call := &directCall{machine: machine.ID, session: held.checkin.Report.Session, term: machine.Term, fence: true, repeat: held.fencesSent > 0}
+	held.nextFence = c.now.Steady + limits.FenceRepeatAfter<<held.fencesSent
+	held.fencesSent++
 	c.renewals.FenceOrders++
 	c.fencesInFlight++
 	if call.repeat {
 		c.fenceRepeats++
 	}
-	c.lastDirectCall++
-	c.directCalls[c.lastDirectCall] = call
+	c.lastDirectCallID++
+	c.directCalls[c.lastDirectCallID] = call
 	orders := wire.Orders{Token: call.term, Session: call.session, Commands: []wire.Command{}}
-	c.out = append(c.out, DirectCall{ID: c.lastDirectCall, Address: m.Address, Body: orders, Until: c.ownership.ActUntil()})
+	c.outputs = append(c.outputs, DirectCall{ID: c.lastDirectCallID, Address: machine.Address, Body: orders, Until: c.ownership.AnswerDeadline()})
 }
 
-// fenceReplied takes in what came of a fence.
-func (c *Core) fenceReplied(call *directCall, x DirectReply) {
+// handleFenceReply processes the outcome of a fence.
+func (c *Core) handleFenceReply(call *directCall, reply DirectReply) {
 	c.fencesInFlight--
 	if call.repeat {
 		c.fenceRepeats--
 	}
-	if m := c.pool.Machines[call.machine]; m != nil && c.active[m.Class] == call.term {
-		if r := reportIn(m, x); r != nil {
-			c.takeProbe(m, call, r)
+	if machine := c.pool.Machines[call.machine]; machine != nil && c.activeTerms[machine.Class] == call.term {
+		if report := decodeOrderReply(machine, reply); report != nil {
+			c.acceptProbeReport(machine, call, report)
 		}
-		c.answerHeldReport(m.ID)
+		c.answerHeldReport(machine.ID)
 	}
 	c.sendQueuedFences()
 	if c.ownership.MayLaunch() {
@@ -85,54 +88,55 @@
 	}
 }
 
-// answerHeldReport answers the held report of a machine, if there is one and the machine has seen our
-// token since.
-func (c *Core) answerHeldReport(machine string) {
-	m, held := c.pool.Machines[machine], c.heldReports[machine]
-	if m == nil || held == nil || !c.isFenced(m, held) {
+// answerHeldReport answers the held report of a machine, if there is one and the worker has since
+// seen this owner's fencing token.
+func (c *Core) answerHeldReport(machineID string) {
+	machine, held := c.pool.Machines[machineID], c.heldReports[machineID]
+	if machine == nil || held == nil || !c.isFenced(machine, held) {
 		return
 	}
-	delete(c.heldReports, machine)
+	delete(c.heldReports, machineID)
 	c.renewals.Fenced++
-	c.renew(held.checkin, m, workers.Overtaken)
+	c.renew(held.checkin, machine, workers.Overtaken)
 }
 
-// isFenced tells whether a machine has seen our token in the session of a held report, so that its
-// list is all there is.
-func (c *Core) isFenced(m *workers.Machine, held *heldReport) bool {
-	term, ours := c.active[m.Class]
-	return ours && c.ownership.MayAnswer() && m.Term == term && m.Adopted && m.Session == held.checkin.Report.Session
+// isFenced reports whether the worker has seen this owner's fencing token in the session of the
+// held report, so that its task list is complete.
+func (c *Core) isFenced(machine *workers.Machine, held *heldReport) bool {
+	term, owned := c.activeTerms[machine.Class]
+	return owned && c.ownership.MayAnswer() && machine.Term == term && machine.Adopted && machine.Session == held.checkin.Report.Session
 }
 
-// tendHeldReports repeats fences that got no answer, and refuses the reports that have waited for too
-// long: their workers try again in a second or two.
-func (c *Core) tendHeldReports() {
+// updateHeldReports repeats fences that were not answered, and refuses the reports that have waited
+// too long. A refused worker tries again within a second or two.
+func (c *Core) updateHeldReports() {
 	if len(c.heldReports) == 0 {
 		return
 	}
-	for _, machine := range slices.Sorted(maps.Keys(c.heldReports)) {
-		held := c.heldReports[machine]
+	for _, machineID := range slices.Sorted(maps.Keys(c.heldReports)) {
+		held := c.heldReports[machineID]
 		switch {
 		case c.now.Steady >= held.deadline:
-			c.refuseHeldReport(machine)
-		case held.orders > 0 && c.now.Steady >= held.nextOrder && c.fenceRepeats < limits.FenceRepeats && c.fencesInFlight < limits.FencesInFlight:
-			c.sendFence(machine, held)
+			c.refuseHeldReport(machineID)
+		case held.fencesSent > 0 && c.now.Steady >= held.nextFence && c.fenceRepeats < limits.FenceRepeats && c.fencesInFlight < limits.FencesInFlight:
+			c.sendFence(machineID, held)
 		}
 	}
 }
 
-// refuseHeldReport answers the held report of a machine, if there is one, with 503. Guards, where a class is
-// given up, against fences for it once the class is taken again: they would leave under no term.
-func (c *Core) refuseHeldReport(machine string) {
-	held := c.heldReports[machine]
+// refuseHeldReport answers the held report of a machine, if there is one, with 503. It is also
+// called when a class is released. Otherwise, once the class is taken over again, the machine would
+// be sent fences without a term for the held report.
+func (c *Core) refuseHeldReport(machineID string) {
+	held := c.heldReports[machineID]
 	if held == nil {
 		return
 	}
-	delete(c.heldReports, machine)
+	delete(c.heldReports, machineID)
 	c.renewals.NotFenced++
-	if m := c.pool.Machines[machine]; m != nil {
-		m.NotFenced = true
+	if machine := c.pool.Machines[machineID]; machine != nil {
+		machine.NotFenced = true
 	}
-	c.log(slog.LevelInfo, "renewal withheld", "machine", machine, "session", held.checkin.Report.Session, "reason", string(authority.NotFenced), "orders", held.orders)
+	c.log(slog.LevelInfo, "renewal withheld", "machine", machineID, "session", held.checkin.Report.Session, "reason", string(authority.NotFenced), "orders", held.fencesSent)
 	c.refuseReport(held.checkin)
 }
--- a/internal/controller/gang_reserve.go
+++ b/internal/controller/gang_reserve.go
@@ -10,103 +10,104 @@
 	"umberpaddle/internal/limits"
 )
 
-// gangDemandAsked is what gangs that should start within seconds ask for now.
-type gangDemandAsked struct {
+// gangStartDemand is the current demand of unfinished gangs that should start within seconds.
+type gangStartDemand struct {
 	cpus    float64
 	images  map[string]bool
 	classes map[string]bool
 }
 
-// gangsToStartSoon sums up the gangs that should start within seconds.
-func (c *Core) gangsToStartSoon() gangDemandAsked {
-	asked := gangDemandAsked{images: map[string]bool{}, classes: map[string]bool{}}
-	for _, j := range c.jobs.Open {
-		if !j.Gang || !j.Active || j.Cancelled || j.Faulty() || c.startWithin(j) <= 0 {
+// sumGangStartDemand returns the demand of all unfinished gangs that should start within seconds.
+func (c *Core) sumGangStartDemand() gangStartDemand {
+	demand := gangStartDemand{images: map[string]bool{}, classes: map[string]bool{}}
+	for _, job := range c.jobs.Open {
+		if !job.Gang || !job.Active || job.Cancelled || job.Faulty() || c.startWithin(job) <= 0 {
 			continue
 		}
-		asked.cpus += float64(j.Tasks) * j.CPUs
-		asked.images[j.Image] = true
-		for _, class := range j.Types {
-			asked.classes[class] = true
+		demand.cpus += float64(job.Tasks) * job.CPUs
+		demand.images[job.Image] = true
+		for _, class := range job.Types {
+			demand.classes[class] = true
 		}
 	}
-	return asked
+	return demand
 }
 
-// reserveForGangs leaves some ordinary machines to gangs that should start within seconds.
-// Their tasks are few and small, and the time goes into fetching images, on all their machines
-// at once: where arrays fill whatever is free, each gang comes to machines that lack its
-// image. On machines of their own it is there from the second gang on.
+// reserveForGangs reserves some on-demand machines for gangs that should start within seconds.
+// Such gangs have few, small tasks, and their start time is mostly spent on fetching the image
+// on all their machines at once. If array jobs fill all free machines, each gang is placed on
+// machines without its image. On reserved machines, the image is present from the second gang on.
 func (c *Core) reserveForGangs(machines []*allocation.Machine) {
-	if c.now.Steady < c.nextReserve {
-		return // sorting the machines at every look would cost a tenth of a small share
+	if c.now.Steady < c.nextGangReserve {
+		return // sorting the machines in every run would use a tenth of a small CPU share
 	}
-	c.nextReserve = c.now.Steady + limits.GangReserveInterval
-	asked := c.gangsToStartSoon()
-	if asked.cpus == 0 && c.gangDemand == 0 {
+	c.nextGangReserve = c.now.Steady + limits.GangReserveInterval
+	demand := c.sumGangStartDemand()
+	if demand.cpus == 0 && c.gangDemand == 0 {
 		return
 	}
 	elapsed := float64(c.now.Steady-c.gangDemandAt) / float64(limits.GangDemandHalfLife)
-	c.gangDemand = max(asked.cpus, c.gangDemand*math.Exp2(-elapsed))
+	c.gangDemand = max(demand.cpus, c.gangDemand*math.Exp2(-elapsed))
 	c.gangDemandAt = c.now.Steady
 	if c.gangDemand < 1 {
 		c.gangDemand = 0
-		clear(c.reserved)
+		clear(c.gangOnlyMachines)
 		return
 	}
-	all, reserved := 0.0, 0.0
+	totalCPUs, reservedCPUs := 0.0, 0.0
 	present := map[string]bool{}
-	for _, m := range machines {
-		all += m.Size.CPUs
-		present[m.ID] = true
-		if c.reserved[m.ID] {
-			reserved += m.Size.CPUs
+	for _, machine := range machines {
+		totalCPUs += machine.Size.CPUs
+		present[machine.ID] = true
+		if c.gangOnlyMachines[machine.ID] {
+			reservedCPUs += machine.Size.CPUs
 		}
 	}
-	maps.DeleteFunc(c.reserved, func(id string, _ bool) bool { return !present[id] })
-	most := limits.GangReserveMost * all
-	want := min(limits.GangReserveFactor*c.gangDemand, most)
-	if reserved >= want {
-		c.shrinkGangReserve(machines, reserved, want)
+	maps.DeleteFunc(c.gangOnlyMachines, func(id string, _ bool) bool { return !present[id] })
+	maxCPUs := limits.GangReserveMost * totalCPUs
+	wantedCPUs := min(limits.GangReserveFactor*c.gangDemand, maxCPUs)
+	if reservedCPUs >= wantedCPUs {
+		c.shrinkGangReserve(machines, reservedCPUs, wantedCPUs)
 	} else {
-		c.growGangReserve(machines, asked, reserved, want, most)
+		c.growGangReserve(machines, demand, reservedCPUs, wantedCPUs, maxCPUs)
 	}
 }
 
-// shrinkGangReserve gives back the machines that are not needed, empty of gangs first.
-func (c *Core) shrinkGangReserve(machines []*allocation.Machine, reserved, want float64) {
-	for _, m := range machines {
-		if c.reserved[m.ID] && !m.Busy && reserved-m.Size.CPUs >= want {
-			delete(c.reserved, m.ID)
-			m.GangsOnly = false
-			reserved -= m.Size.CPUs
+// shrinkGangReserve releases idle reserved machines that are not needed.
+func (c *Core) shrinkGangReserve(machines []*allocation.Machine, reservedCPUs, wantedCPUs float64) {
+	for _, machine := range machines {
+		if c.gangOnlyMachines[machine.ID] && !machine.Busy && reservedCPUs-machine.Size.CPUs >= wantedCPUs {
+			delete(c.gangOnlyMachines, machine.ID)
+			machine.GangsOnly = false
+			reservedCPUs -= machine.Size.CPUs
 		}
 	}
 }
 
-// growGangReserve adds machines that have the images first, then those with most room.
-func (c *Core) growGangReserve(machines []*allocation.Machine, asked gangDemandAsked, reserved, want, most float64) {
-	score := func(m *allocation.Machine) float64 {
-		score := m.Free.CPUs / m.Size.CPUs
-		for image := range asked.images {
-			if m.Images[image] {
+// growGangReserve reserves more machines, preferring machines that have the demanded images,
+// then machines with the largest free share of CPUs.
+func (c *Core) growGangReserve(machines []*allocation.Machine, demand gangStartDemand, reservedCPUs, wantedCPUs, maxCPUs float64) {
+	score := func(machine *allocation.Machine) float64 {
+		score := machine.Free.CPUs / machine.Size.CPUs
+		for image := range demand.images {
+			if machine.Images[image] {
 				score++
 			}
 		}
 		return score
 	}
-	var list []*allocation.Machine
-	for _, m := range machines {
-		if !m.Spot && !c.reserved[m.ID] && (asked.classes[m.Class] || len(asked.classes) == 0) {
-			list = append(list, m)
+	var candidates []*allocation.Machine
+	for _, machine := range machines {
+		if !machine.Spot && !c.gangOnlyMachines[machine.ID] && (demand.classes[machine.Class] || len(demand.classes) == 0) {
+			candidates = append(candidates, machine)
 		}
 	}
-	slices.SortStableFunc(list, func(a, b *allocation.Machine) int { return cmp.Compare(score(b), score(a)) })
-	for _, m := range list {
-		if reserved+m.Size.CPUs > most || reserved >= want {
+	slices.SortStableFunc(candidates, func(a, b *allocation.Machine) int { return cmp.Compare(score(b), score(a)) })
+	for _, machine := range candidates {
+		if reservedCPUs+machine.Size.CPUs > maxCPUs || reservedCPUs >= wantedCPUs {
 			return
 		}
-		c.reserved[m.ID], m.GangsOnly = true, true
-		reserved += m.Size.CPUs
+		c.gangOnlyMachines[machine.ID], machine.GangsOnly = true, true
+		reservedCPUs += machine.Size.CPUs
 	}
 }
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -11,301 +11,307 @@
 	"umberpaddle/internal/workers"
 )
 
-// A gang's tasks have one attempt number. As long as none has begun, a task that is lost
-// is replaced under it; after that, and whenever a task ends in another way, the whole
-// attempt ends, and the next begins once every task of it is proven off its machine.
+// All tasks of a gang share one attempt number. Until the first task runs, a lost task is
+// replaced under the same number. After that, or when a task ends in any other way, the whole
+// attempt ends. The next attempt starts once every task of the attempt has provably left its
+// machine.
 
-// gangEndReason tells why an attempt of a gang ends. The cause that a worker reports for a task
-// is one as well.
+// gangEndReason is the reason why an attempt of a gang ends: one of the constants below, or the
+// cause that a worker reports for a task.
 type gangEndReason wire.Cause
 
-// Reasons of the owner's own.
+// Reasons determined by the controller, as opposed to causes reported by workers.
 const (
-	gangMixed         gangEndReason = "mixed attempts"
+	gangMixedAttempts gangEndReason = "mixed attempts"
 	gangTaskLost      gangEndReason = "task lost"
 	gangMachineLeaves gangEndReason = "machine leaves"
-	gangStopTooSlow   gangEndReason = "not stopped in time"
-	gangNotWhole      gangEndReason = "not whole at a takeover"
+	gangStopTimeout   gangEndReason = "not stopped in time"
+	gangIncomplete    gangEndReason = "not whole at a takeover"
 )
 
-// gangUnit fits a unit to what a gang needs now; false: nothing.
-func (c *Core) gangUnit(u *allocation.Unit, j *jobs.Job, held map[string][]string) bool {
-	u.Gang, u.Count = true, j.Waiting()
-	if j.GangRun.Ending || j.GangRun.StoppedAt > 0 || (j.GangRun.Started && u.Count > 0) {
+// limitGangUnit sets a unit's task count and the machines to avoid for a gang. It reports
+// whether the gang may be placed now.
+func (c *Core) limitGangUnit(unit *allocation.Unit, job *jobs.Job, endedTaskMachines map[string][]string) bool {
+	unit.Gang, unit.Count = true, job.Waiting()
+	if job.GangRun.Ending || job.GangRun.StoppedAt > 0 || (job.GangRun.Started && unit.Count > 0) {
 		return false
 	}
-	u.Avoid = map[string]bool{}
-	if !j.Faulty() { // one that fails everywhere would have nowhere left to try
-		for id := range j.FailedOn {
-			u.Avoid[id] = true
+	unit.Avoid = map[string]bool{}
+	if !job.Faulty() { // a job that fails on every machine would have none left to retry on
+		for machineID := range job.FailedOn {
+			unit.Avoid[machineID] = true
 		}
 	}
-	for id := range j.GangRun.LeftMachines { // an attempt that was cleared must not come back there
-		u.Avoid[id] = true
+	for machineID := range job.GangRun.LeftMachines { // a machine never gets two tasks of the same attempt in turn
+		unit.Avoid[machineID] = true
 	}
-	for _, id := range held[j.ID] {
-		u.Avoid[id] = true
+	for _, machineID := range endedTaskMachines[job.ID] {
+		unit.Avoid[machineID] = true
 	}
-	// Guards against gangs that fail everywhere and have room held for each try in turn.
-	u.Overdue = !j.Faulty() && c.age(j.SubmitUnix) > limits.GangHold
-	return u.Count > 0
+	// Without the check for faulty jobs, a gang that fails on every machine would have room
+	// reserved for each retry.
+	unit.Overdue = !job.Faulty() && c.age(job.SubmitUnix) > limits.GangHold
+	return unit.Count > 0
 }
 
-// machinesWithEndedTasks lists, by gang, the machines with an end of a task that is not cleared yet:
-// it keeps the task away from there.
+// machinesWithEndedTasks returns, by gang, the machines that still list an ended task of the
+// gang. The task can't be placed on such a machine until its ended attempt is cleared.
 func (c *Core) machinesWithEndedTasks() map[string][]string {
-	out := map[string][]string{}
-	for id, m := range c.pool.Machines {
-		for task := range m.EndedTasks {
-			job, _ := jobs.SplitTask(task)
-			if j := c.jobs.Open[job]; j != nil && j.Gang {
-				out[job] = append(out[job], id)
+	byGang := map[string][]string{}
+	for machineID, machine := range c.pool.Machines {
+		for task := range machine.EndedTasks {
+			jobID, _ := jobs.SplitTaskID(task)
+			if job := c.jobs.Open[jobID]; job != nil && job.Gang {
+				byGang[jobID] = append(byGang[jobID], machineID)
 			}
 		}
 	}
-	return out
+	return byGang
 }
 
-// placeGang takes the placements of a gang over, all or none.
-func (c *Core) placeGang(j *jobs.Job, team string, machines []*allocation.Machine) {
+// placeGang applies the placements of a gang's waiting tasks, all or none.
+func (c *Core) placeGang(job *jobs.Job, team string, machines []*allocation.Machine) {
 	var tasks []int
-	for task := 0; task < j.Tasks; task++ {
-		if _, ok := j.Assigned[task]; !ok {
+	for task := 0; task < job.Tasks; task++ {
+		if _, ok := job.Assigned[task]; !ok {
 			tasks = append(tasks, task)
 		}
 	}
-	if len(tasks) != len(machines) || j.DoneCount > 0 || j.GangRun.Ending || j.GangRun.Started && len(tasks) > 0 {
-		return // the offer was older than a change of the job
+	if len(tasks) != len(machines) || job.DoneCount > 0 || job.GangRun.Ending || job.GangRun.Started && len(tasks) > 0 {
+		return // the job changed after the placement was computed
 	}
-	for _, am := range machines {
-		m := c.pool.Machines[am.ID]
-		if m == nil || j.GangRun.LeftMachines[am.ID] {
+	for _, candidate := range machines {
+		machine := c.pool.Machines[candidate.ID]
+		if machine == nil || job.GangRun.LeftMachines[candidate.ID] {
 			return
 		}
 		for _, task := range tasks {
-			if m.EndedTasks[jobs.TaskID(j.ID, task)] {
+			if machine.EndedTasks[jobs.TaskID(job.ID, task)] {
 				return
 			}
 		}
 	}
-	if j.GangRun.Attempt == 0 {
-		j.GangRun = jobs.GangRun{Attempt: c.attempt(machines[0].Class), LeftMachines: map[string]bool{}}
+	if job.GangRun.Attempt == 0 {
+		job.GangRun = jobs.GangRun{Attempt: c.nextAttempt(machines[0].Class), LeftMachines: map[string]bool{}}
 	}
-	for i, am := range machines {
-		c.assign(j, tasks[i], jobs.Assignment{Machine: am.ID, Attempt: j.GangRun.Attempt, State: jobs.Planned})
-		noteFetch(c.pool.Machines[am.ID], j)
-		c.plannedMachines = append(c.plannedMachines, am.ID)
+	for i, candidate := range machines {
+		c.assign(job, tasks[i], jobs.Assignment{Machine: candidate.ID, Attempt: job.GangRun.Attempt, State: jobs.Planned})
+		markImageFetching(c.pool.Machines[candidate.ID], job)
+		c.plannedMachines = append(c.plannedMachines, candidate.ID)
 	}
-	c.log(slog.LevelDebug, "gang placed", "job", j.ID, "tasks", len(tasks), "of", j.Tasks, "attempt", j.GangRun.Attempt, "team", team)
+	c.log(slog.LevelDebug, "gang placed", "job", job.ID, "tasks", len(tasks), "of", job.Tasks, "attempt", job.GangRun.Attempt, "team", team)
 }
 
-// gangReported takes in a task of a gang that a machine lists.
-func (c *Core) gangReported(j *jobs.Job, t wire.TaskReport) {
-	if j.GangRun.Attempt == 0 {
-		return // adopted once all machines are known
+// recordGangTask processes a gang's task that a machine's report lists.
+func (c *Core) recordGangTask(job *jobs.Job, report wire.TaskReport) {
+	if job.GangRun.Attempt == 0 {
+		return // adoptGang takes over the attempt once the tasks of all machines are known
 	}
-	if t.Attempt != j.GangRun.Attempt {
-		c.endGang(j, gangMixed)
-	} else if t.State == wire.TaskRunning || t.State == wire.TaskSaving {
-		j.GangRun.Started = true
+	if report.Attempt != job.GangRun.Attempt {
+		c.endGang(job, gangMixedAttempts)
+	} else if report.State == wire.TaskRunning || report.State == wire.TaskSaving {
+		job.GangRun.Started = true
 	}
 }
 
-// gangLost takes note that a task of a gang is on its machine no more, without an end
-// that was reported.
-func (c *Core) gangLost(j *jobs.Job, p jobs.Assignment) {
-	if p.Attempt != j.GangRun.Attempt || p.State == jobs.Planned || j.DoneCount == j.Tasks {
+// recordGangTaskLost records that a gang's task has left its machine without a reported end.
+func (c *Core) recordGangTaskLost(job *jobs.Job, assignment jobs.Assignment) {
+	if assignment.Attempt != job.GangRun.Attempt || assignment.State == jobs.Planned || job.DoneCount == job.Tasks {
 		return
 	}
-	if j.GangRun.LeftMachines == nil {
-		j.GangRun.LeftMachines = map[string]bool{}
+	if job.GangRun.LeftMachines == nil {
+		job.GangRun.LeftMachines = map[string]bool{}
 	}
-	j.GangRun.LeftMachines[p.Machine] = true
-	if j.GangRun.Started && j.GangRun.StoppedAt == 0 {
-		c.endGang(j, gangTaskLost)
+	job.GangRun.LeftMachines[assignment.Machine] = true
+	if job.GangRun.Started && job.GangRun.StoppedAt == 0 {
+		c.endGang(job, gangTaskLost)
 	}
 }
 
-// gangEnded takes in the reported end of a gang's task.
-func (c *Core) gangEnded(j *jobs.Job, t wire.TaskReport) {
+// recordGangTaskEnd processes the reported end of a gang's task.
+func (c *Core) recordGangTaskEnd(job *jobs.Job, report wire.TaskReport) {
 	switch {
-	case t.Cause == wire.CauseDone:
-		// One is done: all are, and exit with it.
-		j.Succeeded, j.Backoff = true, 0
-		for task := 0; task < j.Tasks; task++ {
-			j.MarkDone(task)
+	case report.Cause == wire.CauseDone:
+		// A gang is complete when any of its tasks is: the other tasks exit with it.
+		job.Succeeded, job.Backoff = true, 0
+		for task := 0; task < job.Tasks; task++ {
+			job.MarkDone(task)
 		}
-		for _, task := range j.AssignedTasks() {
-			c.unassign(j, task)
+		for _, task := range job.AssignedTasks() {
+			c.unassign(job, task)
 		}
-	case t.Attempt != j.GangRun.Attempt:
-	case t.Cause == wire.CauseHalted && j.GangRun.StoppedAt > 0:
-		// What was told to save: the others are still about it.
+	case report.Attempt != job.GangRun.Attempt:
+	case report.Cause == wire.CauseHalted && job.GangRun.StoppedAt > 0:
+		// The task saved and stopped as ordered; the other tasks are still saving.
 	default:
-		c.endGang(j, gangEndReason(t.Cause))
+		c.endGang(job, gangEndReason(report.Cause))
 	}
 }
 
-// endGang ends what is left of a gang's attempt.
-func (c *Core) endGang(j *jobs.Job, why gangEndReason) {
-	if j.GangRun.Ending || j.GangRun.Attempt == 0 {
+// endGang ends a gang's attempt: it drops planned tasks and stops the launched ones.
+func (c *Core) endGang(job *jobs.Job, reason gangEndReason) {
+	if job.GangRun.Ending || job.GangRun.Attempt == 0 {
 		return
 	}
-	j.GangRun.Ending = true
-	c.log(slog.LevelInfo, "gang attempt ends", "job", j.ID, "why", why, "attempt", j.GangRun.Attempt, "left", len(j.Assigned))
-	c.dirty = true
-	for _, task := range j.AssignedTasks() {
-		if j.Assigned[task].State == jobs.Planned {
-			c.unassign(j, task)
+	job.GangRun.Ending = true
+	c.log(slog.LevelInfo, "gang attempt ends", "job", job.ID, "why", reason, "attempt", job.GangRun.Attempt, "left", len(job.Assigned))
+	c.schedulingDue = true
+	for _, task := range job.AssignedTasks() {
+		if job.Assigned[task].State == jobs.Planned {
+			c.unassign(job, task)
 		}
 	}
-	c.sendGangStops(j, "")
+	c.sendGangStops(job, "")
 }
 
-// stopGang tells all tasks of a running gang to save and stop, since the machine of one
-// has to be left. A gang that only waits has nothing to save.
-func (c *Core) stopGang(j *jobs.Job, m *workers.Machine) {
-	if j.GangRun.Ending || j.GangRun.StoppedAt > 0 || j.GangRun.Attempt == 0 {
+// stopGang orders all tasks of a running gang to save and stop, because the gang has to leave
+// the given machine. If the gang is not running yet, it has nothing to save and its attempt ends
+// immediately.
+func (c *Core) stopGang(job *jobs.Job, machine *workers.Machine) {
+	if job.GangRun.Ending || job.GangRun.StoppedAt > 0 || job.GangRun.Attempt == 0 {
 		return
 	}
-	if !j.GangRun.Started {
-		c.endGang(j, gangMachineLeaves)
+	if !job.GangRun.Started {
+		c.endGang(job, gangMachineLeaves)
 		return
 	}
-	j.GangRun.StoppedAt = c.now.Steady
-	c.log(slog.LevelInfo, "gang stops to save", "job", j.ID, "machine", m.ID, "attempt", j.GangRun.Attempt)
-	// With the answers to reports alone the last ones might be told too late.
-	c.sendGangStops(j, m.ID)
+	job.GangRun.StoppedAt = c.now.Steady
+	c.log(slog.LevelInfo, "gang stops to save", "job", job.ID, "machine", machine.ID, "attempt", job.GangRun.Attempt)
+	// Sent directly, because stop commands in the responses to reports could reach the last
+	// tasks too late.
+	c.sendGangStops(job, machine.ID)
 }
 
-// gangStop tells whether a task of a gang has to be told to stop, and with what leeway.
-func (c *Core) gangStop(j *jobs.Job, t wire.TaskReport) (stop bool, leeway float64) {
+// shouldStopGangTask reports whether a gang's task must be stopped, and the grace period in seconds.
+func (c *Core) shouldStopGangTask(job *jobs.Job, report wire.TaskReport) (stop bool, graceS float64) {
 	switch {
-	case j.GangRun.Ending || j.GangRun.Attempt != 0 && t.Attempt != j.GangRun.Attempt:
+	case job.GangRun.Ending || job.GangRun.Attempt != 0 && report.Attempt != job.GangRun.Attempt:
 		return true, 0
-	case j.GangRun.StoppedAt > 0 && t.State != wire.TaskSaving:
-		return true, j.SaveS + c.settings.Cluster.Workers.GangPeerS
+	case job.GangRun.StoppedAt > 0 && report.State != wire.TaskSaving:
+		return true, job.SaveS + c.settings.Cluster.Workers.GangPeerS
 	}
 	return false, 0
 }
 
-// sendGangStops sends the stops of a gang straight to the machines of its tasks, but for one
-// that is being answered. What does not arrive goes with the answers to reports.
-func (c *Core) sendGangStops(j *jobs.Job, but string) {
-	byMachine := map[string][]wire.Command{}
-	var order []string
-	for _, task := range j.AssignedTasks() {
-		p := j.Assigned[task]
-		stop, leeway := c.gangStop(j, wire.TaskReport{Attempt: p.Attempt})
-		if p.State == jobs.Planned || p.State == jobs.Saving || !stop || p.Machine == but {
+// sendGangStops sends stop commands directly to the machines of a gang's tasks, except for
+// exceptMachine, whose report is being answered. Commands that don't arrive are repeated in the
+// responses to reports.
+func (c *Core) sendGangStops(job *jobs.Job, exceptMachine string) {
+	commands := map[string][]wire.Command{}
+	var machineIDs []string
+	for _, task := range job.AssignedTasks() {
+		assignment := job.Assigned[task]
+		stop, graceS := c.shouldStopGangTask(job, wire.TaskReport{Attempt: assignment.Attempt})
+		if assignment.State == jobs.Planned || assignment.State == jobs.Saving || !stop || assignment.Machine == exceptMachine {
 			continue
 		}
-		if byMachine[p.Machine] == nil {
-			order = append(order, p.Machine)
+		if commands[assignment.Machine] == nil {
+			machineIDs = append(machineIDs, assignment.Machine)
 		}
-		byMachine[p.Machine] = append(byMachine[p.Machine], wire.Command{Verb: wire.VerbStop, Task: jobs.TaskID(j.ID, task), Attempt: p.Attempt, GraceS: leeway})
+		commands[assignment.Machine] = append(commands[assignment.Machine], wire.Command{Verb: wire.VerbStop, Task: jobs.TaskID(job.ID, task), Attempt: assignment.Attempt, GraceS: graceS})
 	}
-	for _, id := range order {
-		if m := c.pool.Machines[id]; m != nil && c.mayStopDirectly(m) {
-			c.sendUntracked(m, m.Session, byMachine[id])
+	for _, machineID := range machineIDs {
+		if machine := c.pool.Machines[machineID]; machine != nil && c.mayStopDirectly(machine) {
+			c.sendUntracked(machine, machine.Session, commands[machineID])
 		}
 	}
 }
 
-// mayStopDirectly tells whether stops may be sent straight to a machine. Guards against orders under no
-// term when a class is given up, which takes its gangs' tasks away.
-func (c *Core) mayStopDirectly(m *workers.Machine) bool {
-	_, ours := c.active[m.Class]
-	reachable := m.Adopted && !m.Lost && !m.Deleting && m.Address != ""
-	return ours && reachable && !m.DirectInFlight && c.probesInFlight < limits.ProbesInFlight
+// mayStopDirectly reports whether stop commands may be sent directly to a machine. Giving up a
+// class removes its gangs' tasks; without the check that the class is owned, the resulting stop
+// commands would be sent without a term.
+func (c *Core) mayStopDirectly(machine *workers.Machine) bool {
+	_, owned := c.activeTerms[machine.Class]
+	reachable := machine.Adopted && !machine.Lost && !machine.Deleting && machine.Address != ""
+	return owned && reachable && !machine.DirectInFlight && c.probesInFlight < limits.ProbesInFlight
 }
 
-// updateGangs adopts what earlier owners started, gives up what stops for too long, and
-// makes way for the next attempt of what is gone.
+// updateGangs adopts attempts that earlier owners started, ends attempts that take too long to
+// stop, and clears attempts without any tasks left so that the next one can start.
 func (c *Core) updateGangs() {
-	t := c.now.Steady
-	var ids []string
-	for id, j := range c.jobs.Open {
-		if j.Gang && j.Active && !j.Frozen && (j.GangRun.Attempt != 0 || len(j.Assigned) > 0) {
-			ids = append(ids, id)
+	steadyNow := c.now.Steady
+	var jobIDs []string
+	for jobID, job := range c.jobs.Open {
+		if job.Gang && job.Active && !job.Frozen && (job.GangRun.Attempt != 0 || len(job.Assigned) > 0) {
+			jobIDs = append(jobIDs, jobID)
 		}
 	}
-	slices.Sort(ids)
-	for _, id := range ids {
-		j := c.jobs.Open[id]
-		if j.GangRun.Attempt == 0 && len(j.Assigned) > 0 {
-			c.adoptGang(j)
+	slices.Sort(jobIDs)
+	for _, jobID := range jobIDs {
+		job := c.jobs.Open[jobID]
+		if job.GangRun.Attempt == 0 && len(job.Assigned) > 0 {
+			c.adoptGang(job)
 		}
-		if j.GangRun.StoppedAt > 0 && t > j.GangRun.StoppedAt+limits.Seconds(c.settings.Cluster.Workers.GangPeerS+j.SaveS)+c.pool.Report*5/4+limits.GangStopSlack {
-			c.endGang(j, gangStopTooSlow)
+		if job.GangRun.StoppedAt > 0 && steadyNow > job.GangRun.StoppedAt+limits.Seconds(c.settings.Cluster.Workers.GangPeerS+job.SaveS)+c.pool.Report*5/4+limits.GangStopSlack {
+			c.endGang(job, gangStopTimeout)
 		}
-		if j.GangRun.Attempt != 0 && len(j.Assigned) == 0 {
-			j.GangRun = jobs.GangRun{}
-			c.dirty = true
+		if job.GangRun.Attempt != 0 && len(job.Assigned) == 0 {
+			job.GangRun = jobs.GangRun{}
+			c.schedulingDue = true
 		}
 	}
 }
 
-// adoptGang goes on with an attempt of an earlier owner. An attempt that was being stopped
-// is told to stop once more, one that lacks tasks and has not begun is completed under its
-// number, and what can't go on is ended.
-func (c *Core) adoptGang(j *jobs.Job) {
+// adoptGang takes over an attempt of an earlier owner. If the attempt was being stopped, the
+// stop commands are sent again. If tasks are missing and none has run yet, the missing tasks are
+// launched under the same attempt number. An attempt that can't continue is ended.
+func (c *Core) adoptGang(job *jobs.Job) {
 	mixed, saving := false, false
-	for _, task := range j.AssignedTasks() {
-		p := j.Assigned[task]
-		if j.GangRun.Attempt == 0 {
-			j.GangRun = jobs.GangRun{Attempt: p.Attempt, LeftMachines: map[string]bool{}}
+	for _, task := range job.AssignedTasks() {
+		assignment := job.Assigned[task]
+		if job.GangRun.Attempt == 0 {
+			job.GangRun = jobs.GangRun{Attempt: assignment.Attempt, LeftMachines: map[string]bool{}}
 		}
-		mixed = mixed || p.Attempt != j.GangRun.Attempt
-		saving = saving || p.State == jobs.Saving
-		j.GangRun.Started = j.GangRun.Started || p.State >= jobs.Running
+		mixed = mixed || assignment.Attempt != job.GangRun.Attempt
+		saving = saving || assignment.State == jobs.Saving
+		job.GangRun.Started = job.GangRun.Started || assignment.State >= jobs.Running
 	}
-	switch whole := len(j.Assigned) == j.Tasks; {
+	switch complete := len(job.Assigned) == job.Tasks; {
 	case mixed:
-		c.endGang(j, gangMixed)
+		c.endGang(job, gangMixedAttempts)
 	case saving:
-		// Guards against progress that was lost although a part of the gang saved: the
-		// owner before had told only some of the tasks.
-		j.GangRun.StoppedAt = c.now.Steady
-		c.sendGangStops(j, "")
-	case whole:
-	case j.GangRun.Started || !c.canComplete(j):
-		c.endGang(j, gangNotWhole)
+		// Without this case, progress is lost although a part of the gang saved: the earlier
+		// owner may have stopped only some of the tasks.
+		job.GangRun.StoppedAt = c.now.Steady
+		c.sendGangStops(job, "")
+	case complete:
+	case job.GangRun.Started || !c.canCompleteGang(job):
+		c.endGang(job, gangIncomplete)
 	default:
-		c.dirty = true
-		c.log(slog.LevelInfo, "gang attempt is completed", "job", j.ID, "attempt", j.GangRun.Attempt, "missing", j.Waiting())
+		c.schedulingDue = true
+		c.log(slog.LevelInfo, "gang attempt is completed", "job", job.ID, "attempt", job.GangRun.Attempt, "missing", job.Waiting())
 	}
 }
 
-// canComplete tells whether the missing tasks of an attempt that an earlier owner started
-// may still be launched under its number. Where the others are is known: every machine was
-// resolved under our term, so no order of the earlier owner can start a task any more. No
-// task of the attempt has waited for longer than the job's age, so it is not about to give
-// up as long as the job is young.
-func (c *Core) canComplete(j *jobs.Job) bool {
-	for _, m := range c.pool.Machines {
-		for _, t := range m.Tasks {
-			if id, _ := jobs.SplitTask(t.Task); id == j.ID && t.Attempt == j.GangRun.Attempt && t.State == wire.TaskEnded {
-				return false // the others learn of it, or give up
+// canCompleteGang reports whether the missing tasks of an attempt that an earlier owner started
+// may still be launched under its number. The locations of the other tasks are known: every
+// machine was resolved under this owner's term, so no order of the earlier owner can start a
+// task any more. No task has waited for its peers longer than the job's age, so none is about
+// to time out while the job is young.
+func (c *Core) canCompleteGang(job *jobs.Job) bool {
+	for _, machine := range c.pool.Machines {
+		for _, t := range machine.Tasks {
+			if jobID, _ := jobs.SplitTaskID(t.Task); jobID == job.ID && t.Attempt == job.GangRun.Attempt && t.State == wire.TaskEnded {
+				return false // the other tasks of the attempt will stop or time out
 			}
 		}
 	}
-	fetch := 0.0
-	for _, class := range j.Types {
+	fetchS := 0.0
+	for _, class := range job.Types {
 		if t := c.fleet.Types[class]; t != nil && t.FetchGBps > 0 {
-			fetch = max(fetch, j.ImageGB/t.FetchGBps)
+			fetchS = max(fetchS, job.ImageGB/t.FetchGBps)
 		}
 	}
 	wait := limits.Seconds(c.settings.Cluster.Workers.GangWaitS)
-	return c.age(j.SubmitUnix)+limits.Seconds(fetch)+limits.GangCompletion < wait
+	return c.age(job.SubmitUnix)+limits.Seconds(fetchS)+limits.GangCompletion < wait
 }
 
-// mustStopGang tells whether a machine's end is so near that a gang with a task on it has
-// to go.
-func (c *Core) mustStopGang(m *workers.Machine, j *jobs.Job) bool {
-	if m.Recall == 0 {
+// mustStopGang reports whether a machine's recall is so near that a gang with a task on the
+// machine must save and stop.
+func (c *Core) mustStopGang(machine *workers.Machine, job *jobs.Job) bool {
+	if machine.Recall == 0 {
 		return false
 	}
-	left := m.Recall - c.now.Steady
-	return left <= limits.Seconds(j.SaveS+c.settings.Cluster.Workers.GangPeerS)+limits.DrainSpare+c.pool.Report*5/4
+	untilRecall := machine.Recall - c.now.Steady
+	return untilRecall <= limits.Seconds(job.SaveS+c.settings.Cluster.Workers.GangPeerS)+limits.DrainSpare+c.pool.Report*5/4
 }
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -301,9 +301,9 @@
 		c := testCore(t)
 		c.now.Unix = 1e9
 		j := &jobs.Job{Job: &wire.Job{ID: "job-1", Gang: true, Tasks: 2, SubmitUnix: 1e9 - 300},
-			Assigned: map[int]jobs.Assignment{}, FailedOn: map[string]bool{"i-1": true}, Suspect: faulty}
+			Assigned: map[int]jobs.Assignment{}, FailedOn: map[string]bool{"i-1": true}, MarkedFaulty: faulty}
 		u := &allocation.Unit{}
-		if !c.gangUnit(u, j, nil) || u.Overdue == faulty || u.Avoid["i-1"] == faulty {
+		if !c.limitGangUnit(u, j, nil) || u.Overdue == faulty || u.Avoid["i-1"] == faulty {
 			t.Errorf("faulty %v: overdue %v, avoids %v", faulty, u.Overdue, u.Avoid)
 		}
 	}
@@ -386,32 +386,32 @@
 		machines = append(machines, m)
 	}
 	c.reserveForGangs(machines)
-	if len(c.reserved) != 0 {
-		t.Errorf("without gangs: %v", c.reserved)
+	if len(c.gangOnlyMachines) != 0 {
+		t.Errorf("without gangs: %v", c.gangOnlyMachines)
 	}
 	c.now.Steady += time.Minute
 	gang := &jobs.Job{Job: &wire.Job{ID: "job-1", Class: "x", Gang: true, Tasks: 8, CPUs: 2, Image: "img", Types: []string{"small"}}, Active: true}
 	c.jobs.Open["job-1"] = gang
 	c.reserveForGangs(machines)
-	if n := len(c.reserved); n != 3 || !c.reserved["i-31"] {
-		t.Errorf("for 16 CPUs: %v", c.reserved)
+	if n := len(c.gangOnlyMachines); n != 3 || !c.gangOnlyMachines["i-31"] {
+		t.Errorf("for 16 CPUs: %v", c.gangOnlyMachines)
 	}
 	array := &allocation.Unit{Job: "a", Need: allocation.Resources{CPUs: 1}, Count: 1000, Classes: map[string]bool{"small": true}, Spot: true}
 	for _, p := range allocation.Run([]*allocation.Team{{Name: "red", Booked: map[string]allocation.Resources{}, Units: []*allocation.Unit{array}}}, machines, nil, nil) {
-		if c.reserved[p.Machine.ID] {
+		if c.gangOnlyMachines[p.Machine.ID] {
 			t.Fatalf("an array's task is on %s", p.Machine.ID)
 		}
 	}
 	c.now.Steady += time.Second
 	gang.Tasks = 80 // more than the part that may be reserved
 	c.reserveForGangs(machines)
-	if n := len(c.reserved); n != 6 {
+	if n := len(c.gangOnlyMachines); n != 6 {
 		t.Errorf("%d of 40 machines", n)
 	}
 	delete(c.jobs.Open, "job-1")
 	c.now.Steady += 20 * time.Minute
 	c.reserveForGangs(machines)
-	if len(c.reserved) != 0 {
-		t.Errorf("long after the last gang: %v", c.reserved)
+	if len(c.gangOnlyMachines) != 0 {
+		t.Errorf("long after the last gang: %v", c.gangOnlyMachines)
 	}
 }
--- a/internal/controller/hot_paths_bench_test.go
+++ b/internal/controller/hot_paths_bench_test.go
@@ -42,7 +42,7 @@
 	w := newSimulation(1, standardConfig())
 	w.run(5 * time.Second)
 	n := w.owner()
-	o := &busyOwner{world: w, node: n, core: n.core, term: n.core.active["small"], seq: make([]uint64, machines)}
+	o := &busyOwner{world: w, node: n, core: n.core, term: n.core.activeTerms["small"], seq: make([]uint64, machines)}
 	for i := 0; i < benchJobs; i++ {
 		id := fmt.Sprintf("job-%d", i)
 		raw, err := wire.Encode(&wire.Job{ID: id, Team: "blue", Tasks: machines / 10, CPUs: 1, MemoryGB: 1, Types: []string{"small"}, Spot: true, EstimateS: 30})
@@ -159,9 +159,9 @@
 func BenchmarkSchedulingPass(b *testing.B) {
 	forEachFleet(b, func(b *testing.B, o *busyOwner) {
 		for k := 0; k < b.N; k++ {
-			o.core.dirty, o.core.nextRound = true, 0
+			o.core.schedulingDue, o.core.nextRound = true, 0
 			o.core.allocate()
-			o.core.out = o.core.out[:0]
+			o.core.outputs = o.core.outputs[:0]
 		}
 	})
 }
--- a/internal/controller/job_order.go
+++ b/internal/controller/job_order.go
@@ -12,131 +12,135 @@
 	"umberpaddle/internal/wire"
 )
 
-func need(j *jobs.Job) allocation.Resources {
-	return allocation.Resources{CPUs: j.CPUs, GPUs: j.GPUs, Memory: j.MemoryGB}
+// taskResources returns the resources that one task of a job requests.
+func taskResources(job *jobs.Job) allocation.Resources {
+	return allocation.Resources{CPUs: job.CPUs, GPUs: job.GPUs, Memory: job.MemoryGB}
 }
 
-func size(t *wire.MachineType) allocation.Resources {
-	return allocation.Resources{CPUs: t.CPUs, GPUs: t.GPUs, Memory: t.MemoryGB}
+// typeCapacity returns the resources of one machine of a type.
+func typeCapacity(machineType *wire.MachineType) allocation.Resources {
+	return allocation.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, Memory: machineType.MemoryGB}
 }
 
-// targets lists the times after its submission at which a job should be
-// complete, soonest first: its deadline, in the multiples that the objectives
-// name, or what they say of its class.
-func (c *Core) targets(j *jobs.Job) []float64 {
-	var list []float64
-	for _, o := range c.settings.Cluster.Objectives {
+// completionTargets returns the times by which a job should be complete, in seconds after its
+// submission, earliest first. They come from the objectives of the job's class, as fixed times
+// or multiples of the job's deadline; without any, the deadline itself is the target.
+func (c *Core) completionTargets(job *jobs.Job) []float64 {
+	var targets []float64
+	for _, objective := range c.settings.Cluster.Objectives {
 		switch {
-		case o.Class != j.Class:
-		case o.Kind == "finished" && o.WithinS > 0:
-			list = append(list, o.WithinS)
-		case o.Kind == "deadline" && o.Times > 0 && j.DeadlineS > 0:
-			list = append(list, o.Times*j.DeadlineS)
+		case objective.Class != job.Class:
+		case objective.Kind == "finished" && objective.WithinS > 0:
+			targets = append(targets, objective.WithinS)
+		case objective.Kind == "deadline" && objective.Times > 0 && job.DeadlineS > 0:
+			targets = append(targets, objective.Times*job.DeadlineS)
 		}
 	}
-	if len(list) == 0 && j.DeadlineS > 0 {
-		list = append(list, j.DeadlineS)
+	if len(targets) == 0 && job.DeadlineS > 0 {
+		targets = append(targets, job.DeadlineS)
 	}
-	sort.Float64s(list)
-	return list
+	sort.Float64s(targets)
+	return targets
 }
 
-// startWithin is how soon the tasks of a job's class should have started, in
-// seconds; 0 if nothing is said of it.
-func (c *Core) startWithin(j *jobs.Job) float64 {
-	for _, o := range c.settings.Cluster.Objectives {
-		if o.Kind == "wait" && o.Class == j.Class {
-			return o.WithinS
+// startWithin returns the time in seconds within which tasks of the job's class should start,
+// or 0 if the class has no such objective.
+func (c *Core) startWithin(job *jobs.Job) float64 {
+	for _, objective := range c.settings.Cluster.Objectives {
+		if objective.Kind == "wait" && objective.Class == job.Class {
+			return objective.WithinS
 		}
 	}
 	return 0
 }
 
-// timeLeft returns the seconds until the job's soonest target that it can still
-// meet, and whether there is one; a job without targets always has one.
-func (c *Core) timeLeft(j *jobs.Job) (float64, bool) {
-	targets := c.targets(j)
-	if len(targets) == 0 {
+// timeLeft returns the seconds until the earliest target that the job can still meet, and
+// whether there is such a target. For a job without targets it returns +Inf and true.
+func (c *Core) timeLeft(job *jobs.Job) (float64, bool) {
+	completionTargets := c.completionTargets(job)
+	if len(completionTargets) == 0 {
 		return math.Inf(1), true
 	}
-	age := c.age(j.SubmitUnix).Seconds()
-	for _, t := range targets {
-		if age+limits.HopefulShare*j.EstimateS <= t {
-			return t - age, true
+	age := c.age(job.SubmitUnix).Seconds()
+	for _, target := range completionTargets {
+		if age+limits.HopefulShare*job.EstimateS <= target {
+			return target - age, true
 		}
 	}
 	return 0, false
 }
 
-// remainingWork is what a job has left, in CPU seconds by its owner's estimate.
-func remainingWork(j *jobs.Job) float64 {
-	return float64(j.Tasks-j.DoneCount) * max(j.EstimateS, 1) * max(j.CPUs, 1)
+// remainingWork returns the unfinished work of a job in CPU seconds, from the estimate that was
+// submitted with the job.
+func remainingWork(job *jobs.Job) float64 {
+	return float64(job.Tasks-job.DoneCount) * max(job.EstimateS, 1) * max(job.CPUs, 1)
 }
 
-// overdue tells whether a job has waited so long for its first task that it goes
-// before all others of its team. Guards against starvation: the orders below
-// leave a large job for last as long as others come.
-func (c *Core) overdue(j *jobs.Job) bool {
-	return !j.Started && !j.Cancelled && !j.Faulty() && c.age(j.SubmitUnix) > limits.BeginWithin
+// startOverdue reports whether a job has waited so long for its first task that it is placed
+// before all other jobs of its team. Without this rule, large jobs starve: the other sort
+// criteria put a large job last as long as new jobs arrive.
+func (c *Core) startOverdue(job *jobs.Job) bool {
+	return !job.Started && !job.Cancelled && !job.Faulty() && c.age(job.SubmitUnix) > limits.BeginWithin
 }
 
-// rankedJob is a job with what decides its place in the order of jobs.
+// rankedJob is a job with its sort criteria.
 type rankedJob struct {
 	*jobs.Job
-	overdue bool
-	hopeful bool    // it can still meet a target
-	key     float64 // slack, or the work left
+	startOverdue  bool
+	canMeetTarget bool    // the job can still meet a target
+	sortKey       float64 // slack in seconds, or remaining work in CPU seconds; lowest first
 }
 
-// sortedJobs lists the active jobs: what is overdue to begin; then by urgency; then those
-// that can still meet a target, least slack first; then the others, least work left first, so
-// that of what is late anyway the most jobs are over soon. The order is kept for a moment.
+// sortedJobs returns the active jobs in scheduling order: first the jobs overdue to start,
+// oldest first; then the others by urgency. Within an urgency, jobs that can still meet a target
+// come first, least slack first; then the jobs that can't, least remaining work first, so that as
+// many late jobs as possible finish soon. The result is cached for SortInterval.
 func (c *Core) sortedJobs() []*jobs.Job {
-	if !c.sortStale && c.now.Steady < c.sortedAt+limits.SortInterval {
-		return c.sorted
+	if !c.jobOrderStale && c.now.Steady < c.jobOrderAt+limits.SortInterval {
+		return c.jobOrder
 	}
-	c.sortStale, c.sortedAt = false, c.now.Steady
-	list := c.rankJobs()
-	slices.SortFunc(list, compareRanked)
-	c.sorted = make([]*jobs.Job, len(list))
-	for i := range list {
-		c.sorted[i] = list[i].Job
+	c.jobOrderStale, c.jobOrderAt = false, c.now.Steady
+	ranked := c.rankJobs()
+	slices.SortFunc(ranked, compareRanked)
+	c.jobOrder = make([]*jobs.Job, len(ranked))
+	for i := range ranked {
+		c.jobOrder[i] = ranked[i].Job
 	}
-	return c.sorted
+	return c.jobOrder
 }
 
-// rankJobs finds what decides on the order of the active jobs. When there is far more work
-// than room, least slack first would only make one job after the other late: then the least
-// work goes first among the hopeful as well.
+// rankJobs computes the sort criteria of the active jobs. When there is far more work than
+// capacity, sorting by least slack would make one job after the other late; jobs that can still
+// meet a target are then sorted by least remaining work, too.
 func (c *Core) rankJobs() []rankedJob {
-	var list []rankedJob
-	demand := 0.0
-	for _, j := range c.jobs.Open {
-		if !j.Active {
+	var ranked []rankedJob
+	demandCPUSeconds := 0.0
+	for _, job := range c.jobs.Open {
+		if !job.Active {
 			continue
 		}
-		left, hopeful := c.timeLeft(j)
-		list = append(list, rankedJob{j, c.overdue(j), hopeful, left - j.EstimateS})
-		if hopeful {
-			demand += remainingWork(j)
+		secondsLeft, canMeetTarget := c.timeLeft(job)
+		ranked = append(ranked, rankedJob{job, c.startOverdue(job), canMeetTarget, secondsLeft - job.EstimateS})
+		if canMeetTarget {
+			demandCPUSeconds += remainingWork(job)
 		}
 	}
-	room := 0.0
-	for _, m := range c.pool.Machines {
-		if t := c.fleet.Types[m.Class]; t != nil && m.Adopted {
-			room += t.CPUs
+	capacityCPUs := 0.0
+	for _, machine := range c.pool.Machines {
+		if machineType := c.fleet.Types[machine.Class]; machineType != nil && machine.Adopted {
+			capacityCPUs += machineType.CPUs
 		}
 	}
-	crowded := demand > room*limits.CrowdedFor.Seconds()
-	for i := range list {
-		if !list[i].hopeful || crowded {
-			list[i].key = remainingWork(list[i].Job)
+	overloaded := demandCPUSeconds > capacityCPUs*limits.CrowdedFor.Seconds()
+	for i := range ranked {
+		if !ranked[i].canMeetTarget || overloaded {
+			ranked[i].sortKey = remainingWork(ranked[i].Job)
 		}
 	}
-	return list
+	return ranked
 }
 
-// compareRanked orders two jobs; what should start first comes first.
+// compareRanked is the sort order of jobs: the job that should start first comes first.
 func compareRanked(a, b rankedJob) int {
 	trueFirst := func(x, y bool) int {
 		switch {
@@ -147,16 +151,16 @@
 		}
 		return 1
 	}
-	if order := trueFirst(a.overdue, b.overdue); order != 0 {
+	if order := trueFirst(a.startOverdue, b.startOverdue); order != 0 {
 		return order
 	}
-	if a.overdue && a.SubmitUnix != b.SubmitUnix {
+	if a.startOverdue && a.SubmitUnix != b.SubmitUnix {
 		return cmp.Compare(a.SubmitUnix, b.SubmitUnix)
 	}
 	return cmp.Or(
 		cmp.Compare(b.Urgency, a.Urgency),
-		trueFirst(a.hopeful, b.hopeful),
-		cmp.Compare(a.key, b.key),
+		trueFirst(a.canMeetTarget, b.canMeetTarget),
+		cmp.Compare(a.sortKey, b.sortKey),
 		cmp.Compare(a.ID, b.ID),
 	)
 }
--- a/internal/controller/knowledge_log.go
+++ b/internal/controller/knowledge_log.go
@@ -7,56 +7,57 @@
 	"umberpaddle/internal/limits"
 )
 
-// replyTimes sums up how long the state service took, since it was last logged.
+// replyTimes summarizes the response times of the state service since they were last logged.
 type replyTimes struct {
 	replies, slow int
 	longest       time.Duration
 }
 
-// noteSlowReply counts a reply of the state service and logs a slow one: what it tells is as old
-// as its call, whatever has happened since.
-func (c *Core) noteSlowReply(x StoreReply) {
-	call, sentAt, ok := c.store.InFlight(x.ID)
+// recordStoreLatency counts a reply of the state service and logs it if it is slow. The content of a
+// reply may be as old as its call.
+func (c *Core) recordStoreLatency(reply StoreReply) {
+	call, sentAt, ok := c.store.InFlight(reply.ID)
 	if !ok || call.IsWatch() {
 		return
 	}
-	took := c.now.Steady - sentAt
-	c.storeReplies.replies++
-	c.storeReplies.longest = max(c.storeReplies.longest, took)
-	if took < limits.SlowStore {
+	latency := c.now.Steady - sentAt
+	c.storeReplyTimes.replies++
+	c.storeReplyTimes.longest = max(c.storeReplyTimes.longest, latency)
+	if latency < limits.SlowStore {
 		return
 	}
-	c.storeReplies.slow++
-	c.log(slog.LevelDebug, "slow reply of the state service", "method", call.Method, "path", call.Path, "call", x.ID, "status", x.Status, "tookS", took.Seconds())
+	c.storeReplyTimes.slow++
+	c.log(slog.LevelDebug, "slow reply of the state service", "method", call.Method, "path", call.Path, "call", reply.ID, "status", reply.Status, "tookS", latency.Seconds())
 }
 
-// cancellationsAge is how old this node's knowledge of all cancellations is.
+// cancellationsAge returns the age of this node's view of the cancellations. Only cancellations
+// newer than that may be missing from the view.
 func (c *Core) cancellationsAge() time.Duration {
 	return c.now.Steady - c.ownership.CancellationsKnownThrough()
 }
 
-// logReadings tells when all records were read, and up to when they are known by that.
-func (c *Core) logReadings() {
+// logFullReads logs each full read of the records, with the age of the state that it returned.
+func (c *Core) logFullReads() {
 	mirror := c.store.Mirror
-	if mirror.Readings == c.loggedReadings {
+	if mirror.Readings == c.loggedFullReads {
 		return
 	}
-	c.loggedReadings = mirror.Readings
+	c.loggedFullReads = mirror.Readings
 	c.log(slog.LevelInfo, "records read", "readings", mirror.Readings, "revision", mirror.Revision, "keys", mirror.Len(), "ageS", (c.now.Steady - mirror.KnownThrough).Seconds())
 }
 
-// logKnowledge tells on what this node acts and answers: who leads, under which terms this node
-// acts, and how old its picture of the state service is.
+// logKnowledge periodically logs the state on which this node acts: the leader, this node's terms,
+// and the age of its mirror of the state service.
 func (c *Core) logKnowledge() {
-	c.logReadings()
+	c.logFullReads()
 	if c.now.Steady < c.nextKnowledgeLog {
 		return
 	}
 	c.nextKnowledgeLog = c.now.Steady + limits.KnowledgeLogInterval
-	mirror, times := c.store.Mirror, c.storeReplies
-	c.storeReplies = replyTimes{}
+	mirror, summary := c.store.Mirror, c.storeReplyTimes
+	c.storeReplyTimes = replyTimes{}
 	c.log(slog.LevelDebug, "knowledge", "leader", c.ownership.Leader(), "terms", c.ownership.Terms(), "leaseValid", c.ownership.LeaseValid(),
 		"revision", mirror.Revision, "mirrorAgeS", (c.now.Steady - mirror.KnownThrough).Seconds(), "cancellationsKnownS", c.cancellationsAge().Seconds(),
-		"replies", times.replies, "slow", times.slow, "longestS", times.longest.Seconds(), "withheldAnswers", c.jobs.WithheldAnswers,
+		"replies", summary.replies, "slow", summary.slow, "longestS", summary.longest.Seconds(), "withheldAnswers", c.jobs.WithheldAnswers,
 		"renewals", c.renewals)
 }
--- a/internal/controller/long_tasks_owner_test.go
+++ b/internal/controller/long_tasks_owner_test.go
@@ -120,7 +120,7 @@
 	o.core.jobs.Apply(statestore.Change{Key: statestore.Root + "q/" + id + "/0", Entry: statestore.Entry{Value: pack(map[string]any{"d": ""}), Version: 1 << 41}})
 	o.core.jobsChanged = true
 	o.step(Tick{})
-	if !o.core.jobs.Open[id].Launched() {
+	if !o.core.jobs.Open[id].MayHaveLaunched() {
 		o.t.Fatal("the job does not pass for launched")
 	}
 }
@@ -145,7 +145,7 @@
 	o.core.assign(j, 0, jobs.Assignment{Machine: o.machine.ID, Attempt: 1 << 50, State: jobs.Planned})
 	o.core.plannedMachines = append(o.core.plannedMachines, o.machine.ID)
 	o.core.sendDirectLaunches()
-	for _, out := range o.core.flush() {
+	for _, out := range o.core.takeOutputs() {
 		if call, ok := out.(DirectCall); ok && call.Address == o.machine.Address {
 			if timedOut {
 				o.step(DirectReply{ID: call.ID})
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -14,54 +14,56 @@
 )
 
 const (
-	keyMachines = statestore.Root + "r/"
-	keyType     = statestore.Root + "t/"
+	keyMachines     = statestore.Root + "r/"
+	keyMachineTypes = statestore.Root + "t/"
 )
 
-// machineRecord is the durable record of a machine that may get tasks.
+// machineRecord is the stored record of a machine that has tasks or may get them.
 type machineRecord struct {
-	//lint:ignore U1000 read by the codec: the record is a list, as every version writes it
-	_msgpack struct{} `msgpack:",as_array"`
-	Zone     string
-	Spot     bool
-	At       int64 // time of day of the rental, s
-	// Up: it has reported and may have got tasks. Without it the machine is on
-	// its way: a takeover need not wait for it.
+	//lint:ignore U1000 read by the codec: every version stores the record as a list
+	_msgpack   struct{} `msgpack:",as_array"`
+	Zone       string
+	Spot       bool
+	RentedUnix int64 // Unix time of the rental, in seconds
+	// Up reports whether the machine has sent a report and may have tasks. Until then it is
+	// booting, and a takeover doesn't wait for it.
 	Up bool
-	// Address is where its worker answers, for a new owner that it does not find.
+	// Address is the address of the machine's worker. A new owner uses it if the worker doesn't
+	// report to that owner.
 	Address string
 	Class   string `msgpack:"-"`
 }
 
-// applyMachineRecord follows the records of machines.
-func (c *Core) applyMachineRecord(id, class string, value msgpack.RawMessage, gone bool) {
+// applyMachineRecord updates machineRecords with a change of a stored record.
+func (c *Core) applyMachineRecord(id, class string, value msgpack.RawMessage, removed bool) {
 	c.fleetChanged = true
-	var e machineRecord
+	var record machineRecord
 	switch {
-	case gone:
+	case removed:
 		delete(c.machineRecords, id)
-	case wire.Decode(value, &e) == nil:
-		e.Class = class
-		c.machineRecords[id] = e
+	case wire.Decode(value, &record) == nil:
+		record.Class = class
+		c.machineRecords[id] = record
 	}
 }
 
-// applyType follows the recorded machine types.
-func (c *Core) applyType(ch statestore.Change) {
-	if !strings.HasPrefix(ch.Key, keyType) || ch.Removed {
+// applyMachineType adds a stored machine type to the known types.
+func (c *Core) applyMachineType(change statestore.Change) {
+	if !strings.HasPrefix(change.Key, keyMachineTypes) || change.Removed {
 		return
 	}
-	t := &wire.MachineType{}
-	if wire.Decode(ch.Entry.Value, t) == nil && t.Name != "" {
-		c.typesSaved[t.Name] = true
-		if c.fleet.Types[t.Name] == nil {
-			c.fleet.Types[t.Name] = t
+	machineType := &wire.MachineType{}
+	if wire.Decode(change.Entry.Value, machineType) == nil && machineType.Name != "" {
+		c.savedTypes[machineType.Name] = true
+		if c.fleet.Types[machineType.Name] == nil {
+			c.fleet.Types[machineType.Name] = machineType
 		}
 	}
 }
 
-// writeMachineRecords records machines before their first launch, drops those that are
-// gone, and keeps the machine types for starts while the cloud is down.
+// writeMachineRecords stores records of machines before their first launch, removes the records of
+// deleted machines, and stores the machine types so that a controller can start while the cloud is
+// down.
 func (c *Core) writeMachineRecords() {
 	if c.now.Steady < c.nextRecordScan {
 		return
@@ -72,86 +74,88 @@
 		c.nextFleetScan = c.now.Steady + limits.FleetScanInterval
 		c.recordMachinesUp()
 		c.recordMachinesBooting()
-		c.removeGoneMachines()
+		c.removeGoneMachineRecords()
 	}
 	c.machineTable.Write()
-	c.writeTypes()
+	c.writeMachineTypes()
 }
 
-// removeGoneMachines drops the records of machines that the cloud has deleted.
-func (c *Core) removeGoneMachines() {
+// removeGoneMachineRecords removes the records of machines that the cloud has deleted.
+func (c *Core) removeGoneMachineRecords() {
 	for id, record := range c.machineRecords {
-		if _, ours := c.active[record.Class]; ours && c.fleet.IsGone(id) {
+		if _, owned := c.activeTerms[record.Class]; owned && c.fleet.IsGone(id) {
 			delete(c.recordRequested, id)
 			c.machineTable.Remove(id, limits.PageDelay)
 		}
 	}
 }
 
-// newMachineRecord is the record of a machine that was rented at since.
+// newMachineRecord returns the record of a machine that was rented at since.
 func (c *Core) newMachineRecord(kind fleet.Kind, since time.Duration) machineRecord {
 	age := (c.now.Steady - since).Seconds()
-	return machineRecord{Zone: kind.Zone, Spot: kind.Spot, At: int64(c.now.Unix - age)}
+	return machineRecord{Zone: kind.Zone, Spot: kind.Spot, RentedUnix: int64(c.now.Unix - age)}
 }
 
-// recordMachinesUp asks for the records without which a machine gets no task.
+// recordMachinesUp requests records, with Up set, for machines that have reported. A machine gets no
+// task before this record is stored.
 func (c *Core) recordMachinesUp() {
 	for _, m := range c.pool.Sorted() {
 		if c.machineRecords[m.ID].Up || m.Deleting || !m.Adopted || c.recordRequested[m.ID] {
 			continue
 		}
 		since := c.now.Steady
-		if r := c.fleet.Rentals[m.ID]; r != nil {
-			since = r.Since
+		if rental := c.fleet.Rentals[m.ID]; rental != nil {
+			since = rental.Since
 		}
-		record := c.newMachineRecord(kindOf(m), since)
+		record := c.newMachineRecord(rentalKind(m), since)
 		record.Up, record.Address = true, m.Address
 		c.recordRequested[m.ID] = true
 		c.machineTable.Set(m.Class, m.ID, record, 0)
 	}
 }
 
-// recordMachinesBooting records what is on its way: a successor then knows of it before the
-// lists do, and rents nothing twice.
+// recordMachinesBooting requests records of machines that are still booting. The next owner then
+// sees them before the cloud's lists contain them, and rents no replacements.
 func (c *Core) recordMachinesBooting() {
 	var booting []string
-	for id, r := range c.fleet.Rentals {
+	for id, rental := range c.fleet.Rentals {
 		_, recorded := c.machineRecords[id]
-		_, ours := c.active[r.Kind.Class]
-		if ours && !recorded && !c.recordRequested[id] && !r.Deleted && !r.Up && r.Listed == "" {
+		_, owned := c.activeTerms[rental.Kind.Class]
+		if owned && !recorded && !c.recordRequested[id] && !rental.Deleted && !rental.Up && rental.Listed == "" {
 			booting = append(booting, id)
 		}
 	}
-	slices.Sort(booting) // which records share a key must not depend on the order of a map
+	slices.Sort(booting) // map order must not decide which records share a key
 	for _, id := range booting {
-		r := c.fleet.Rentals[id]
-		c.machineTable.Set(r.Kind.Class, id, c.newMachineRecord(r.Kind, r.Since), limits.PageDelay)
+		rental := c.fleet.Rentals[id]
+		c.machineTable.Set(rental.Kind.Class, id, c.newMachineRecord(rental.Kind, rental.Since), limits.PageDelay)
 	}
 }
 
-func (c *Core) writeTypes() {
+// writeMachineTypes stores the types of owned classes that are not stored yet, in one transaction at a time.
+func (c *Core) writeMachineTypes() {
 	if c.savingTypes {
 		return
 	}
-	var t wire.Txn
+	var txn wire.Txn
 	for _, name := range c.fleet.Classes() {
-		mt := c.fleet.Types[name]
-		if _, ok := c.active[name]; ok && !c.typesSaved[name] && len(t.Then) < c.store.MaxWrites() {
-			key := keyType + name
-			e, _ := c.store.Mirror.Get(key)
-			t.Guards = append(t.Guards, c.ownership.Guard(name), wire.Guard{Key: key, Version: e.Version})
-			t.Then = append(t.Then, wire.Op{Key: key, Value: mt})
+		machineType := c.fleet.Types[name]
+		if _, ok := c.activeTerms[name]; ok && !c.savedTypes[name] && len(txn.Then) < c.store.MaxWrites() {
+			key := keyMachineTypes + name
+			entry, _ := c.store.Mirror.Get(key)
+			txn.Guards = append(txn.Guards, c.ownership.Guard(name), wire.Guard{Key: key, Version: entry.Version})
+			txn.Then = append(txn.Then, wire.Op{Key: key, Value: machineType})
 		}
 	}
-	if len(t.Then) == 0 {
+	if len(txn.Then) == 0 {
 		return
 	}
 	c.savingTypes = true
-	c.store.Txn(statestore.Progress, limits.StoreTimeout, t, func(r statestore.Reply) {
+	c.store.Txn(statestore.Progress, limits.StoreTimeout, txn, func(reply statestore.Reply) {
 		c.savingTypes = false
-		if r.Status == statestore.OK {
-			for _, op := range t.Then {
-				c.typesSaved[op.Value.(*wire.MachineType).Name] = true
+		if reply.Status == statestore.OK {
+			for _, op := range txn.Then {
+				c.savedTypes[op.Value.(*wire.MachineType).Name] = true
 			}
 		}
 	})
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -11,84 +11,86 @@
 	"umberpaddle/internal/workers"
 )
 
-// manageMachines gives up what is silent, expired, broken or recalled.
+// manageMachines marks machines whose lease has expired as lost, and returns machines that are
+// silent, recalled, faulty or drained.
 func (c *Core) manageMachines() {
-	t := c.now.Steady
-	if len(c.active) == 0 || t < c.nextMachineCheck {
+	now := c.now.Steady
+	if len(c.activeTerms) == 0 || now < c.nextMachineCheck {
 		return
 	}
-	c.nextMachineCheck = t + limits.MachineCheckInterval
-	heard := time.Duration(0)
-	for _, m := range c.pool.Machines {
-		heard = max(heard, m.LastReport)
+	c.nextMachineCheck = now + limits.MachineCheckInterval
+	lastHeard := time.Duration(0)
+	for _, machine := range c.pool.Machines {
+		lastHeard = max(lastHeard, machine.LastReport)
 	}
-	many, most := c.massSilence(), c.mostMachinesFound()
-	c.probeSilent()
-	for _, m := range c.pool.Sorted() {
-		if !m.Lost && c.pool.Expired(m, t) {
-			m.Lost = true
-			m.Adopted = false
-			if m.NotFenced {
+	massSilence, mostReported := c.massSilence(), c.mostMachinesReported()
+	c.probeSilentMachines()
+	for _, machine := range c.pool.Sorted() {
+		if !machine.Lost && c.pool.Expired(machine, now) {
+			machine.Lost = true
+			machine.Adopted = false
+			if machine.NotFenced {
 				c.renewals.FenceLeases++
 			}
-			c.log(slog.LevelInfo, "machine's lease is over", "machine", m.ID, "tasks", c.tasksOn(m.ID), "notFenced", m.NotFenced)
-			c.clearMachine(m.ID)
+			c.log(slog.LevelInfo, "machine's lease is over", "machine", machine.ID, "tasks", c.tasksOn(machine.ID), "notFenced", machine.NotFenced)
+			c.unassignMachine(machine.ID)
 		}
-		if c.ownership.MayLaunch() && !m.Deleting {
-			c.returnIfBroken(m, many && c.waitsForSilent(m), c.isSilent(m, heard, most))
+		if c.ownership.MayLaunch() && !machine.Deleting {
+			c.returnIfUnusable(machine, massSilence && c.mayWaitForSilent(machine), c.presumedDead(machine, lastHeard, mostReported))
 		}
-		// Plans for a machine that went quiet are taken back: nothing was sent.
-		if h := c.loads[m.ID]; h != nil && h.planned > 0 && !m.Usable(t, c.pool.Report) {
-			for _, id := range h.plannedTaskIDs() {
-				c.unassign(h.tasks[id].job, h.tasks[id].task)
+		// Unassign the launches planned for a machine that has gone silent: none of them was sent.
+		if load := c.loads[machine.ID]; load != nil && load.planned > 0 && !machine.Usable(now, c.pool.Report) {
+			for _, taskID := range load.plannedTaskIDs() {
+				c.unassign(load.tasks[taskID].job, load.tasks[taskID].task)
 			}
 		}
 	}
 }
 
-// returnIfBroken returns a machine that is silent, recalled, faulty or drained.
-func (c *Core) returnIfBroken(m *workers.Machine, patient, silent bool) {
-	t := c.now.Steady
+// returnIfUnusable returns a machine that is silent, recalled, faulty or drained.
+func (c *Core) returnIfUnusable(machine *workers.Machine, mayWait, presumedDead bool) {
+	now := c.now.Steady
 	switch {
-	case !patient && silent && c.wasUp(m):
-		if m.Spot && m.Recall == 0 {
+	case !mayWait && presumedDead && c.bootedOrOverdue(machine):
+		if machine.Spot && machine.Recall == 0 {
 			c.fleet.SpotLost()
 		}
-		c.returnMachine(m, fleet.ReturnSilent)
-	case m.Recall != 0 && t > m.Recall+limits.RecallSlack && m.LastReport < m.Recall:
-		c.returnMachine(m, fleet.ReturnRecalled)
-	case m.Draining && m.Adopted && (m.Faulty || c.tasksOn(m.ID) == 0) && !c.holdsResults(m):
-		// A faulty machine goes with what it runs, which would fail as well.
-		c.returnMachine(m, fleet.ReturnDrained)
+		c.returnMachine(machine, fleet.ReturnSilent)
+	case machine.Recall != 0 && now > machine.Recall+limits.RecallSlack && machine.LastReport < machine.Recall:
+		c.returnMachine(machine, fleet.ReturnRecalled)
+	case machine.Draining && machine.Adopted && (machine.Faulty || c.tasksOn(machine.ID) == 0) && !c.holdsUnstoredResults(machine):
+		// A faulty machine is returned together with its running tasks, which would fail as well.
+		c.returnMachine(machine, fleet.ReturnDrained)
 	}
 }
 
-// waitsForSilent tells whether a silent machine may be waited for when many are silent: not
-// after a takeover, when all that was launched before waits for it, nor when others of its
-// kind are to be had, where its tasks go on sooner.
-func (c *Core) waitsForSilent(m *workers.Machine) bool {
-	return !m.Spot && !c.awaitedByTakeover(m) && c.fleet.Refused(fleet.Kind{Class: m.Class, Zone: m.Zone}) &&
-		c.now.Steady-m.LastReport < limits.MassSilenceLeases*c.pool.Lease
+// mayWaitForSilent reports whether the return of a silent machine may be delayed during a mass
+// silence. It may not be delayed after a takeover, when every job launched before waits for the
+// machine, nor while the cloud can supply other machines of its kind, on which its tasks continue
+// sooner.
+func (c *Core) mayWaitForSilent(machine *workers.Machine) bool {
+	return !machine.Spot && !c.awaitedByTakeover(machine) && c.fleet.Refused(fleet.Kind{Class: machine.Class, Zone: machine.Zone}) &&
+		c.now.Steady-machine.LastReport < limits.MassSilenceLeases*c.pool.Lease
 }
 
-// wasUp tells whether a silent machine has been up, or has had the time to boot.
-func (c *Core) wasUp(m *workers.Machine) bool {
-	r := c.fleet.Track(m.ID, kindOf(m), m.LastReport)
-	return r != nil && (r.Up || m.Lost || r.Listed == wire.MachineRunning || c.now.Steady-r.Since > c.bootLimit(m.Class))
+// bootedOrOverdue reports whether a silent machine has been up, or has had enough time to boot.
+func (c *Core) bootedOrOverdue(machine *workers.Machine) bool {
+	rental := c.fleet.Track(machine.ID, rentalKind(machine), machine.LastReport)
+	return rental != nil && (rental.Up || machine.Lost || rental.Listed == wire.MachineRunning || c.now.Steady-rental.Since > c.bootLimit(machine.Class))
 }
 
-// kindOf is the kind that a machine was rented as.
-func kindOf(m *workers.Machine) fleet.Kind {
-	return fleet.Kind{Class: m.Class, Zone: m.Zone, Spot: m.Spot}
+// rentalKind returns the kind under which a machine is rented.
+func rentalKind(machine *workers.Machine) fleet.Kind {
+	return fleet.Kind{Class: machine.Class, Zone: machine.Zone, Spot: machine.Spot}
 }
 
-// holdsResults tells whether the machine reports completions that are not
-// durable yet: they would have to be run again.
-func (c *Core) holdsResults(m *workers.Machine) bool {
-	for _, t := range m.Tasks {
-		if t.State == wire.TaskEnded && t.Cause == wire.CauseDone {
-			job, task := jobs.SplitTask(t.Task)
-			if j := c.jobs.Open[job]; j != nil && task >= 0 && task < j.Tasks && !j.IsDurable(task) {
+// holdsUnstoredResults reports whether a machine lists completions that are not durable yet. If it
+// were returned now, their tasks would have to run again.
+func (c *Core) holdsUnstoredResults(machine *workers.Machine) bool {
+	for _, report := range machine.Tasks {
+		if report.State == wire.TaskEnded && report.Cause == wire.CauseDone {
+			jobID, task := jobs.SplitTaskID(report.Task)
+			if job := c.jobs.Open[jobID]; job != nil && task >= 0 && task < job.Tasks && !job.IsDurable(task) {
 				return true
 			}
 		}
@@ -97,17 +99,17 @@
 }
 
 func (c *Core) bootLimit(class string) time.Duration {
-	if t := c.fleet.Types[class]; t != nil {
-		return limits.Seconds(t.BootS*limits.BootFactor) + limits.BootSlack
+	if machineType := c.fleet.Types[class]; machineType != nil {
+		return limits.Seconds(machineType.BootS*limits.BootFactor) + limits.BootSlack
 	}
 	return limits.BootSlack
 }
 
-func (c *Core) returnMachine(m *workers.Machine, why fleet.ReturnReason) {
-	if m.Deleting {
+func (c *Core) returnMachine(machine *workers.Machine, reason fleet.ReturnReason) {
+	if machine.Deleting {
 		return
 	}
-	m.Deleting = true
-	c.fleet.Track(m.ID, kindOf(m), m.LastReport)
-	c.fleet.Delete(m.ID, why)
+	machine.Deleting = true
+	c.fleet.Track(machine.ID, rentalKind(machine), machine.LastReport)
+	c.fleet.Delete(machine.ID, reason)
 }
--- a/internal/controller/owned_classes.go
+++ b/internal/controller/owned_classes.go
@@ -11,164 +11,165 @@
 	"umberpaddle/internal/ownership"
 )
 
-// divideBudget divides the budget of the state service: an owner writes more than the
-// others, who only take in what users ask.
+// divideBudget sets this node's share of the state service's budget. An owner gets more than a node
+// that only accepts user requests, because it writes more.
 func (c *Core) divideBudget() {
 	owners := c.ownership.Owners()
-	n := float64(len(c.settings.Others) + 1)
+	nodes := float64(len(c.settings.Others) + 1)
 	if len(owners) == 0 {
-		c.store.SetShare(1/n, 1/n)
+		c.store.SetShare(1/nodes, 1/nodes)
 		return
 	}
-	part := func(weight float64) float64 {
-		of := func(name string) float64 {
+	share := func(weight float64) float64 {
+		weightOf := func(name string) float64 {
 			if owners[name] {
 				return weight
 			}
 			return 1
 		}
-		sum := of(c.settings.Label)
-		for _, p := range c.settings.Others {
-			sum += of(p.Label)
+		total := weightOf(c.settings.Label)
+		for _, peer := range c.settings.Others {
+			total += weightOf(peer.Label)
 		}
-		return of(c.settings.Label) / sum
+		return weightOf(c.settings.Label) / total
 	}
-	c.store.SetShare(part(limits.OwnerWeight), part(limits.OwnerWrites))
+	c.store.SetShare(share(limits.OwnerWeight), share(limits.OwnerWrites))
 }
 
-// demand tells which classes each team's unfinished jobs may use. A cancelled
-// job counts until none of its tasks is left: it still takes of the limit.
+// demand returns the classes that each team's unfinished jobs may use. A cancelled job counts until
+// none of its tasks is left, because those tasks still use up the team's limit.
 func (c *Core) demand() ownership.Demand {
-	d := ownership.Demand{}
-	for _, j := range c.jobs.Open {
-		set := d[j.Team]
-		if set == nil {
-			set = map[string]bool{}
-			d[j.Team] = set
+	demand := ownership.Demand{}
+	for _, job := range c.jobs.Open {
+		classes := demand[job.Team]
+		if classes == nil {
+			classes = map[string]bool{}
+			demand[job.Team] = classes
 		}
-		for _, class := range j.Types {
-			set[class] = true
+		for _, class := range job.Types {
+			classes[class] = true
 		}
 	}
-	return d
+	return demand
 }
 
-// followClaims starts and ends acting for classes.
-func (c *Core) followClaims() {
+// applyClaims starts acting for newly claimed classes and stops acting for classes whose claim is
+// gone.
+func (c *Core) applyClaims() {
 	claims := c.ownership.Claims()
-	for _, class := range slices.Sorted(maps.Keys(c.active)) {
-		if cl := claims[class]; cl == nil || cl.Term != c.active[class] {
-			delete(c.active, class)
-			c.leaveClass(class)
+	for _, class := range slices.Sorted(maps.Keys(c.activeTerms)) {
+		if claim := claims[class]; claim == nil || claim.Term != c.activeTerms[class] {
+			delete(c.activeTerms, class)
+			c.releaseClass(class)
 			c.machineTable.Forget(class)
-			c.jobs.DropPending(class)
+			c.jobs.DropPendingWrites(class)
 			clear(c.recordRequested)
 			c.fleetChanged = true
 		}
 	}
 	for _, class := range slices.Sorted(maps.Keys(claims)) {
-		cl := claims[class]
-		if _, ok := c.active[class]; ok {
+		claim := claims[class]
+		if _, ok := c.activeTerms[class]; ok {
 			continue
 		}
-		c.active[class] = cl.Term
-		c.resolving[class] = true
-		c.dirty, c.jobsChanged, c.fleetChanged = true, true, true
-		c.toldCounts = nil
-		for id, e := range c.machineRecords {
-			if e.Class == class {
-				if e.Up {
-					c.pool.Expect(id, e.Class, e.Zone, e.Spot, cl.Since).Address = e.Address
+		c.activeTerms[class] = claim.Term
+		c.unresolvedClasses[class] = true
+		c.schedulingDue, c.jobsChanged, c.fleetChanged = true, true, true
+		c.sentCounts = nil
+		for machineID, record := range c.machineRecords {
+			if record.Class == class {
+				if record.Up {
+					c.pool.Expect(machineID, record.Class, record.Zone, record.Spot, claim.Since).Address = record.Address
 				}
-				if r := c.fleet.Track(id, fleet.Kind{Class: e.Class, Zone: e.Zone, Spot: e.Spot}, c.now.Steady-c.age(float64(e.At))); r != nil {
-					r.WasUp = e.Up
+				if rental := c.fleet.Track(machineID, fleet.Kind{Class: record.Class, Zone: record.Zone, Spot: record.Spot}, c.now.Steady-c.age(float64(record.RentedUnix))); rental != nil {
+					rental.WasUp = record.Up
 				}
 			}
 		}
 	}
 }
 
-func (c *Core) leaveClass(class string) {
-	for _, m := range c.pool.Sorted() {
-		if m.Class == class {
-			c.refuseHeldReport(m.ID)
-			c.clearMachine(m.ID)
-			c.pool.Drop(m.ID)
+func (c *Core) releaseClass(class string) {
+	for _, machine := range c.pool.Sorted() {
+		if machine.Class == class {
+			c.refuseHeldReport(machine.ID)
+			c.unassignMachine(machine.ID)
+			c.pool.Drop(machine.ID)
 		}
 	}
-	for id, r := range c.fleet.Rentals {
-		if r.Kind.Class == class {
-			delete(c.fleet.Rentals, id)
+	for machineID, rental := range c.fleet.Rentals {
+		if rental.Kind.Class == class {
+			delete(c.fleet.Rentals, machineID)
 		}
 	}
-	c.dirty, c.jobsChanged = true, true
+	c.schedulingDue, c.jobsChanged = true, true
 }
 
-// clearMachine takes all places on a machine away.
-func (c *Core) clearMachine(id string) {
-	if h := c.loads[id]; h != nil {
-		for _, task := range h.taskIDs() {
-			c.unassign(h.tasks[task].job, h.tasks[task].task)
+// unassignMachine removes all assignments to a machine.
+func (c *Core) unassignMachine(machineID string) {
+	if load := c.loads[machineID]; load != nil {
+		for _, taskID := range load.taskIDs() {
+			c.unassign(load.tasks[taskID].job, load.tasks[taskID].task)
 		}
-		delete(c.loads, id)
+		delete(c.loads, machineID)
 	}
-	c.dirty, c.jobsChanged = true, true
+	c.schedulingDue, c.jobsChanged = true, true
 }
 
-// updateActiveJobs marks the jobs whose classes we all own. A job that an earlier
-// owner may have launched is frozen until every recorded machine that
-// could run it is resolved.
+// updateActiveJobs marks the jobs whose classes are all owned by this node as active. A job that an
+// earlier owner may have launched is frozen until every recorded machine that could run it is
+// resolved.
 func (c *Core) updateActiveJobs() {
 	if !c.jobsChanged {
 		return
 	}
 	c.jobsChanged = false
 	unresolved := map[string]bool{}
-	for id, m := range c.pool.Machines {
-		if c.machineRecords[id].Up && !m.Resolved() {
-			unresolved[m.Class] = true
+	for machineID, machine := range c.pool.Machines {
+		if c.machineRecords[machineID].Up && !machine.Resolved() {
+			unresolved[machine.Class] = true
 		}
 	}
-	for _, j := range c.jobs.Open {
-		if !c.updateActive(j, unresolved) {
+	for _, job := range c.jobs.Open {
+		if !c.updateActive(job, unresolved) {
 			continue
 		}
-		c.sortStale = true
-		if j.Launched() {
-			c.round = nil // what may run unseen has changed
+		c.jobOrderStale = true
+		if job.MayHaveLaunched() {
+			c.lastRound = nil // the set of tasks that may run unreported has changed
 		}
 	}
-	for _, class := range slices.Sorted(maps.Keys(c.resolving)) {
+	for _, class := range slices.Sorted(maps.Keys(c.unresolvedClasses)) {
 		if !unresolved[class] {
-			delete(c.resolving, class)
-			c.log(slog.LevelInfo, "every machine of the class accounted for", "class", class, "term", c.active[class])
+			delete(c.unresolvedClasses, class)
+			c.log(slog.LevelInfo, "every machine of the class accounted for", "class", class, "term", c.activeTerms[class])
 		}
 	}
 }
 
-// updateActive tells whether a job's Active or Frozen has changed.
-func (c *Core) updateActive(j *jobs.Job, unresolved map[string]bool) bool {
-	wasActive, wasFrozen := j.Active, j.Frozen
-	j.Active = len(j.Types) > 0
-	for _, class := range j.Types {
-		if _, ours := c.active[class]; !ours {
-			j.Active = false
+// updateActive updates a job's Active and Frozen, and reports whether either has changed.
+func (c *Core) updateActive(job *jobs.Job, unresolved map[string]bool) bool {
+	wasActive, wasFrozen := job.Active, job.Frozen
+	job.Active = len(job.Types) > 0
+	for _, class := range job.Types {
+		if _, owned := c.activeTerms[class]; !owned {
+			job.Active = false
 		}
 	}
-	if j.Active && !wasActive {
-		j.Frozen = j.Launched()
-		j.Prepared = false
-		j.GangRun = jobs.GangRun{}
+	if job.Active && !wasActive {
+		job.Frozen = job.MayHaveLaunched()
+		job.Prepared = false
+		job.GangRun = jobs.GangRun{}
 	}
-	if j.Active && j.Frozen {
-		j.Frozen = slices.ContainsFunc(j.Types, func(class string) bool { return unresolved[class] })
+	if job.Active && job.Frozen {
+		job.Frozen = slices.ContainsFunc(job.Types, func(class string) bool { return unresolved[class] })
 	}
-	return j.Active != wasActive || j.Frozen != wasFrozen
+	return job.Active != wasActive || job.Frozen != wasFrozen
 }
 
-// machineGone is told when a deletion was answered with 200.
-func (c *Core) machineGone(id string) {
-	c.clearMachine(id)
-	c.pool.Drop(id)
-	c.dirty, c.jobsChanged, c.fleetChanged = true, true, true
+// handleMachineDeleted removes a machine after its deletion was answered with 200.
+func (c *Core) handleMachineDeleted(machineID string) {
+	c.unassignMachine(machineID)
+	c.pool.Drop(machineID)
+	c.schedulingDue, c.jobsChanged, c.fleetChanged = true, true, true
 }
--- a/internal/controller/partial_failures_test.go
+++ b/internal/controller/partial_failures_test.go
@@ -35,7 +35,7 @@
 
 func (w *simulation) owner() *simNode {
 	for _, n := range w.nodes {
-		if n.core != nil && len(n.core.active) > 0 && n.core.ownership.MayLaunch() {
+		if n.core != nil && len(n.core.activeTerms) > 0 && n.core.ownership.MayLaunch() {
 			return n
 		}
 	}
@@ -63,7 +63,7 @@
 		w.owner().crash(2 * time.Second)
 		w.run(100 * time.Second)
 		for _, n := range w.nodes {
-			waiting += len(n.core.resolving)
+			waiting += len(n.core.unresolvedClasses)
 		}
 		w.cloud.outage = false
 		w.run(130 * time.Second)
@@ -320,7 +320,7 @@
 		w.mustFinish(t)
 	})
 	if _, lost := play(standardConfig(), 1, func(c *Core) {
-		if len(c.active) > 0 {
+		if len(c.activeTerms) > 0 {
 			c.lastArrival = c.now.Steady
 		}
 	}); lost == 0 {
--- a/internal/controller/peer_messages.go
+++ b/internal/controller/peer_messages.go
@@ -9,10 +9,11 @@
 	"umberpaddle/internal/reachability"
 )
 
-// PeerMessage is what controllers tell each other: counts for display, cancellations
-// that users were told, a request for a promise not to take over the given terms, or the
-// question whether the peer reaches the state service, or whether workers of others
-// come to it.
+// PeerMessage is a message from one controller to another. Probe asks whether the peer reaches the
+// state service. Visited asks whether workers of other owners' classes report to the peer. Promise
+// requests an extension: the peer's promise not to take over the classes in Terms. Any other message
+// carries job counts for display, cancellations that were confirmed to users, faulty jobs, or a view
+// of the links.
 type PeerMessage struct {
 	From      string
 	Probe     bool
@@ -21,66 +22,70 @@
 	Terms     map[string]uint64
 	Counts    map[string][2]int
 	Cancelled []string
-	// Faulty are jobs that fail everywhere. Versions without the field skip it.
+	// Faulty are jobs whose tasks failed on every machine that was tried. Versions without the field
+	// ignore it.
 	Faulty []string
-	// View is what the sender knows of its links. Versions without the field skip it.
+	// View is the sender's view of its links. Versions without the field ignore it.
 	View *reachability.View
 }
 
-// PeerAnswer answers a PeerMessage. Where a promise was requested, it also carries the
-// cancellations that the peer knows: Vouch tells that these are all that it, or an
-// earlier life of it, told users, and all that anybody was told up to Behind before.
+// PeerAnswer is the answer to a PeerMessage. If an extension was requested, it also carries the
+// cancellations that the peer has recorded. Vouch reports that Cancelled contains every cancellation
+// that the peer, in this or an earlier run of its process, confirmed to users, and every one that
+// any controller confirmed until Behind before the answer.
 type PeerAnswer struct {
 	Yes       bool
 	Vouch     bool
 	Behind    time.Duration
 	Cancelled []string
-	// Faulty are jobs that earlier owners told this peer of and that the asker did not
-	// name. Versions without the field skip it.
+	// Faulty are jobs that earlier owners reported to the peer as faulty and that the message did
+	// not list. Versions without the field ignore it.
 	Faulty []string
-	// Uptime is for how long the peer's process has run, where a promise was requested: an
-	// earlier life may have followed the asker. Versions without the field skip it.
+	// Uptime is how long the peer's process has run, if an extension was requested. An earlier run
+	// of that process may have succeeded the sender as owner without this run remembering it.
+	// Versions without the field ignore it.
 	Uptime time.Duration
 }
 
-// messagePeers asks peers for what this node can't see itself, and tells them of its work.
+// messagePeers sends peers the messages that are due: views of links, requests for extensions,
+// probes, and job counts.
 func (c *Core) messagePeers() {
-	t := c.now.Steady
+	now := c.now.Steady
 	c.watchLinksToWorkers()
-	if view := c.links.tick(t, c.log); view != nil {
+	if view := c.links.tick(now, c.log); view != nil {
 		c.messageAll(PeerMessage{View: view})
 	}
 	if c.ownership.NeedsExtension() {
 		c.messageAll(PeerMessage{Promise: true, Terms: c.ownership.Terms()})
 	}
-	if c.store.Down() && t >= c.nextProbe {
-		c.nextProbe = t + limits.ExtensionInterval
+	if c.store.Down() && now >= c.nextStoreProbe {
+		c.nextStoreProbe = now + limits.ExtensionInterval
 		c.messageAll(PeerMessage{Probe: true})
 	}
-	// An owner that its workers don't reach looks for a node that they do reach.
-	if len(c.active) > 0 && t-max(c.lastArrival, c.reportsResumedAt) > c.maxReportGap()/2 && t >= c.nextArrivalQuery {
-		c.nextArrivalQuery = t + limits.ExtensionInterval
+	// No worker has reached this owner for a while: find a peer that workers reach.
+	if len(c.activeTerms) > 0 && now-max(c.lastArrival, c.reportsResumedAt) > c.maxReportGap()/2 && now >= c.nextArrivalQuery {
+		c.nextArrivalQuery = now + limits.ExtensionInterval
 		c.messageAll(PeerMessage{Visited: true})
 	}
-	if t >= c.nextCountsMessage && len(c.active) > 0 {
-		c.nextCountsMessage = t + limits.CountsInterval
+	if now >= c.nextCountsMessage && len(c.activeTerms) > 0 {
+		c.nextCountsMessage = now + limits.CountsInterval
 		c.sendCounts()
 	}
 }
 
 // messageAll sends a message to every other controller.
-func (c *Core) messageAll(m PeerMessage) {
-	m.From = c.settings.Label
-	for _, p := range c.settings.Others {
-		c.out = append(c.out, PeerCall{Peer: p.Label, Sent: c.now.Steady, Msg: m})
+func (c *Core) messageAll(message PeerMessage) {
+	message.From = c.settings.Label
+	for _, other := range c.settings.Others {
+		c.outputs = append(c.outputs, PeerCall{Peer: other.Label, Sent: c.now.Steady, Msg: message})
 	}
 }
 
-// sendCounts tells peers how far our jobs are, where that has changed, and which fail
-// everywhere. A new owner sends them in any case: the answers tell which jobs earlier owners
-// took for faulty.
+// sendCounts sends peers the changed progress counts of the active jobs, and the faulty jobs. A new
+// owner always sends a message, even an empty one: the answers list the jobs that earlier owners
+// reported as faulty.
 func (c *Core) sendCounts() {
-	counts, seen := map[string][2]int{}, map[string][2]int{}
+	counts, current := map[string][2]int{}, map[string][2]int{}
 	var faulty []string
 	for id, j := range c.jobs.Open {
 		if !j.Active {
@@ -90,13 +95,13 @@
 			faulty = append(faulty, id)
 		}
 		count := [2]int{j.DoneCount, j.Running()}
-		seen[id] = count
-		if c.toldCounts[id] != count {
+		current[id] = count
+		if c.sentCounts[id] != count {
 			counts[id] = count
 		}
 	}
-	first := c.toldCounts == nil
-	c.toldCounts = seen
+	first := c.sentCounts == nil
+	c.sentCounts = current
 	if len(counts) == 0 && len(faulty) == 0 && !first {
 		return
 	}
@@ -104,96 +109,96 @@
 	c.messageAll(PeerMessage{Counts: counts, Faulty: faulty})
 }
 
-func (c *Core) answerPeer(x PeerRequest) {
-	if x.Msg.Probe {
-		c.out = append(c.out, Answer{Ref: x.Ref, Status: 200, Body: PeerAnswer{Yes: c.store.Mirror.Loaded && !c.store.Down()}})
+func (c *Core) handlePeerRequest(request PeerRequest) {
+	if request.Msg.Probe {
+		c.outputs = append(c.outputs, Answer{Ref: request.Ref, Status: 200, Body: PeerAnswer{Yes: c.store.Mirror.Loaded && !c.store.Down()}})
 		return
 	}
-	if x.Msg.Visited {
-		c.out = append(c.out, Answer{Ref: x.Ref, Status: 200, Body: PeerAnswer{Yes: c.lastForeignArrival > 0 && c.now.Steady-c.lastForeignArrival < limits.ForeignArrivalFor}})
+	if request.Msg.Visited {
+		c.outputs = append(c.outputs, Answer{Ref: request.Ref, Status: 200, Body: PeerAnswer{Yes: c.lastForeignArrival > 0 && c.now.Steady-c.lastForeignArrival < limits.ForeignArrivalFor}})
 		return
 	}
-	if x.Msg.Promise {
-		a := PeerAnswer{Yes: c.ownership.GrantExtension(c.now.Steady, x.Msg.Terms), Vouch: c.store.Mirror.Loaded, Behind: c.now.Steady - c.store.Mirror.KnownThrough, Uptime: c.ownership.Uptime()}
-		if a.Vouch {
-			a.Cancelled = c.jobs.Cancellations()
+	if request.Msg.Promise {
+		answer := PeerAnswer{Yes: c.ownership.GrantExtension(c.now.Steady, request.Msg.Terms), Vouch: c.store.Mirror.Loaded, Behind: c.now.Steady - c.store.Mirror.KnownThrough, Uptime: c.ownership.Uptime()}
+		if answer.Vouch {
+			answer.Cancelled = c.jobs.Cancellations()
 		}
-		c.out = append(c.out, Answer{Ref: x.Ref, Status: 200, Body: a})
+		c.outputs = append(c.outputs, Answer{Ref: request.Ref, Status: 200, Body: answer})
 		return
 	}
-	c.mergeCancellations(x.Msg.Cancelled)
-	for id, v := range x.Msg.Counts {
-		c.jobs.SetDisplayCounts(id, v[0], v[1])
+	c.mergeCancellations(request.Msg.Cancelled)
+	for id, count := range request.Msg.Counts {
+		c.jobs.SetDisplayCounts(id, count[0], count[1])
 	}
-	// Guards against a faulty job that got its first wave of tasks again from every owner.
-	c.jobs.Suspect(x.Msg.Faulty)
-	c.out = append(c.out, Answer{Ref: x.Ref, Status: 200, Body: PeerAnswer{Yes: true, Faulty: c.jobs.Suspects(x.Msg.Faulty)}})
+	// Without this, every new owner started the first wave of a faulty job's tasks again.
+	c.jobs.MarkFaulty(request.Msg.Faulty)
+	c.outputs = append(c.outputs, Answer{Ref: request.Ref, Status: 200, Body: PeerAnswer{Yes: true, Faulty: c.jobs.MarkedFaulty(request.Msg.Faulty)}})
 }
 
-// peerReplied takes in what came of a message to a peer.
-func (c *Core) peerReplied(x PeerReply) {
-	peer, a := x.Call.Peer, x.Answer
-	switch m := x.Call.Msg; {
-	case m.Visited:
-		if a.Yes {
+// handlePeerReply processes the result of a message to a peer.
+func (c *Core) handlePeerReply(reply PeerReply) {
+	peer, answer := reply.Call.Peer, reply.Answer
+	switch message := reply.Call.Msg; {
+	case message.Visited:
+		if answer.Yes {
 			c.foreignArrivals[peer] = c.now.Steady
 		}
-	case m.Probe:
-		if a.Yes {
+	case message.Probe:
+		if answer.Yes {
 			c.peerReachedStoreAt = c.now.Steady
 		}
-	case m.Promise:
-		c.mergeCancellations(a.Cancelled)
-		c.ownership.RecordPeerCancellations(peer, x.Call.Sent, a.Vouch, a.Behind)
-		c.ownership.RecordExtension(peer, x.Call.Sent, a.Yes, a.Uptime)
-	case a.Yes:
-		c.jobs.Suspect(a.Faulty)
-		for _, id := range m.Cancelled {
-			delete(c.cancelNotices[peer], id)
+	case message.Promise:
+		c.mergeCancellations(answer.Cancelled)
+		c.ownership.RecordPeerCancellations(peer, reply.Call.Sent, answer.Vouch, answer.Behind)
+		c.ownership.RecordExtension(peer, reply.Call.Sent, answer.Yes, answer.Uptime)
+	case answer.Yes:
+		c.jobs.MarkFaulty(answer.Faulty)
+		for _, id := range message.Cancelled {
+			delete(c.pendingCancelNotices[peer], id)
 		}
 	}
 }
 
-// mergeCancellations takes in cancellations that a peer knows of.
+// mergeCancellations records cancellations that a peer reported.
 func (c *Core) mergeCancellations(ids []string) {
 	if c.jobs.MergeCancellations(c.now.Steady, ids) {
-		c.dirty, c.jobsChanged = true, true
+		c.schedulingDue, c.jobsChanged = true, true
 	}
 }
 
-// notifyOwners passes cancellations that became known here straight to the owners of
-// classes, until they acknowledge them: an owner that the state service refuses can't
-// see them, and goes on starting tasks of those jobs.
-func (c *Core) notifyOwners() {
-	t := c.now.Steady
+// sendCancelNotices sends new cancellations directly to the owners of classes, and repeats them until
+// they are acknowledged. Without this, an owner that the state service refuses would not see the
+// cancellations and would go on starting tasks of those jobs.
+func (c *Core) sendCancelNotices() {
+	now := c.now.Steady
 	if ids := c.jobs.TakeNewCancellations(); len(ids) > 0 {
 		for owner := range c.ownership.Owners() {
 			if owner == c.settings.Label {
 				continue
 			}
-			if c.cancelNotices[owner] == nil {
-				c.cancelNotices[owner] = map[string]bool{}
+			if c.pendingCancelNotices[owner] == nil {
+				c.pendingCancelNotices[owner] = map[string]bool{}
 			}
 			for _, id := range ids {
-				c.cancelNotices[owner][id] = true
+				c.pendingCancelNotices[owner][id] = true
 			}
 		}
-		c.nextNotice = t
+		c.nextCancelNotice = now
 	}
-	if t < c.nextNotice {
+	if now < c.nextCancelNotice {
 		return
 	}
-	c.nextNotice = t + limits.ExtensionInterval
+	c.nextCancelNotice = now + limits.ExtensionInterval
 	owners := c.ownership.Owners()
-	for _, p := range c.settings.Others {
-		ids := c.cancelNotices[p.Label]
+	for _, other := range c.settings.Others {
+		ids := c.pendingCancelNotices[other.Label]
 		if len(ids) == 0 {
 			continue
 		}
-		if !owners[p.Label] { // its successor has read them
-			delete(c.cancelNotices, p.Label)
+		if !owners[other.Label] { // the next owner has read the cancellations from the state service
+			delete(c.pendingCancelNotices, other.Label)
 			continue
 		}
-		c.out = append(c.out, PeerCall{Peer: p.Label, Sent: t, Msg: PeerMessage{From: c.settings.Label, Cancelled: slices.Sorted(maps.Keys(ids))}})
+		c.outputs = append(c.outputs, PeerCall{Peer: other.Label, Sent: now, Msg: PeerMessage{From: c.settings.Label, Cancelled: slices.Sorted(maps.Keys(ids))}})
 	}
 }
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -10,123 +10,127 @@
 	"umberpaddle/internal/wire"
 )
 
-// preemption is a machine on which tasks were asked to end, and the job that its
-// room is kept for until then.
+// preemption is a set of tasks that are being stopped on one machine, and the job for which the
+// machine is reserved meanwhile.
 type preemption struct {
-	job   string
-	until time.Duration
-	tasks map[string]uint64 // by task, the attempt that is to end
+	job       string // ID of the job that waits for the machine's resources
+	expiresAt time.Duration
+	tasks     map[string]uint64 // the attempts to be stopped, by task ID
 }
 
-// holdPreempted leaves claimed machines to the jobs that wait for them, for as long as
-// that makes sense, and counts the tasks that room is on its way for.
-func (c *Core) holdPreempted(machines []*allocation.Machine, held map[string]bool) (pending map[string]int) {
+// holdPreempted reserves the machines with preempted tasks for the jobs that wait for them. A
+// preemption is removed when it expires, when its job no longer waits, or when enough tasks have
+// ended. It returns, by job, the number of machines that are still being freed.
+func (c *Core) holdPreempted(machines []*allocation.Machine, heldMachines map[string]bool) (pending map[string]int) {
 	pending = map[string]int{}
 	if len(c.preemptions) == 0 {
 		return pending
 	}
-	at := make(map[string]*allocation.Machine, len(machines))
-	for _, m := range machines {
-		at[m.ID] = m
+	machineByID := make(map[string]*allocation.Machine, len(machines))
+	for _, machine := range machines {
+		machineByID[machine.ID] = machine
 	}
-	left := map[string]int{} // tasks that are still to end, by the job that waits
-	for id, k := range c.preemptions {
-		j := c.jobs.Open[k.job]
-		if at[id] == nil || j == nil || j.Cancelled || j.Waiting() <= 0 || c.now.Steady > k.until {
-			delete(c.preemptions, id)
+	tasksLeft := map[string]int{} // number of tasks still to be stopped, by waiting job
+	for machineID, entry := range c.preemptions {
+		beneficiary := c.jobs.Open[entry.job]
+		if machineByID[machineID] == nil || beneficiary == nil || beneficiary.Cancelled || beneficiary.Waiting() <= 0 || c.now.Steady > entry.expiresAt {
+			delete(c.preemptions, machineID)
 			continue
 		}
-		at[id].Reserve(k.job)
-		held[id] = true
-		for task, attempt := range k.tasks {
-			p, ok := c.loads[id].tasks[task]
-			if !ok || p.job.Assigned[p.task].Attempt != attempt {
-				delete(k.tasks, task)
+		machineByID[machineID].Reserve(entry.job)
+		heldMachines[machineID] = true
+		for task, attempt := range entry.tasks {
+			placed, ok := c.loads[machineID].tasks[task]
+			if !ok || placed.job.Assigned[placed.task].Attempt != attempt {
+				delete(entry.tasks, task)
 			}
 		}
-		left[k.job] += len(k.tasks)
+		tasksLeft[entry.job] += len(entry.tasks)
 	}
-	for id, k := range c.preemptions {
-		// A gang needs all of its room at once, other jobs what there is.
-		if left[k.job] == 0 || len(k.tasks) == 0 && !c.jobs.Open[k.job].Gang {
-			delete(c.preemptions, id) // the run that follows gives the room to the job
+	for machineID, entry := range c.preemptions {
+		// A gang needs all of its machines at once; other jobs can use each machine as it is
+		// freed.
+		if tasksLeft[entry.job] == 0 || len(entry.tasks) == 0 && !c.jobs.Open[entry.job].Gang {
+			delete(c.preemptions, machineID) // the allocation run that follows places the job here
 			continue
 		}
-		pending[k.job]++
+		pending[entry.job]++
 	}
 	return pending
 }
 
-// preemptBorrowed asks for the room that teams have to return, after a run.
+// preemptBorrowed preempts tasks, after an allocation run, for units that are entitled to the
+// resources that other teams have borrowed.
 func (c *Core) preemptBorrowed(round *schedulingRound, machines []*allocation.Machine, pending map[string]int) {
-	t := c.now.Steady
-	if t < c.nextPreemption {
+	steadyNow := c.now.Steady
+	if steadyNow < c.nextPreemption {
 		return
 	}
-	c.nextPreemption = t + limits.PreemptInterval
+	c.nextPreemption = steadyNow + limits.PreemptInterval
 	if !c.anyMayPreempt(round, pending) {
 		return
 	}
 	candidates, tasks := c.preemptibleTasks(machines)
-	most := 1 + int(limits.PreemptShare*float64(len(machines)))
-	for _, p := range allocation.Preempt(round.teams, machines, candidates, pending, most) {
+	maxPreemptions := 1 + int(limits.PreemptShare*float64(len(machines)))
+	for _, chosen := range allocation.Preempt(round.teams, machines, candidates, pending, maxPreemptions) {
 		attempts := map[string]uint64{}
-		save := 0.0
-		for _, victim := range p.Victims {
+		saveS := 0.0
+		for _, victim := range chosen.Victims {
 			ref := tasks[victim.ID]
 			attempts[jobs.TaskID(ref.job.ID, ref.task)] = ref.job.Assigned[ref.task].Attempt
-			save = max(save, ref.job.SaveS)
+			saveS = max(saveS, ref.job.SaveS)
 		}
-		c.preemptions[p.Machine.ID] = &preemption{job: p.Unit.Job, tasks: attempts,
-			until: t + 2*c.pool.Report + limits.Seconds(save) + limits.PreemptSlack}
-		c.log(slog.LevelDebug, "room claimed", "job", p.Unit.Job, "machine", p.Machine.ID, "tasks", len(attempts))
+		c.preemptions[chosen.Machine.ID] = &preemption{job: chosen.Unit.Job, tasks: attempts,
+			expiresAt: steadyNow + 2*c.pool.Report + limits.Seconds(saveS) + limits.PreemptSlack}
+		c.log(slog.LevelDebug, "room claimed", "job", chosen.Unit.Job, "machine", chosen.Machine.ID, "tasks", len(attempts))
 	}
 }
 
-// anyMayPreempt tells whether a waiting unit may have a right to room that others use. Faulty
-// jobs get nothing that others must leave: all their tasks count as pending.
+// anyMayPreempt reports whether any waiting unit may be entitled to resources that other tasks
+// use. Faulty jobs never preempt: all their tasks are counted as pending.
 func (c *Core) anyMayPreempt(round *schedulingRound, pending map[string]int) bool {
 	found := false
 	for _, team := range round.teams {
-		for _, u := range team.Units {
-			if j := c.jobs.Open[u.Job]; j == nil || j.Faulty() {
-				pending[u.Job] = u.Count
+		for _, unit := range team.Units {
+			if job := c.jobs.Open[unit.Job]; job == nil || job.Faulty() {
+				pending[unit.Job] = unit.Count
 				continue
 			}
-			found = found || u.Urgent || team.Guarantee != (allocation.Resources{})
+			found = found || unit.Urgent || team.Guarantee != (allocation.Resources{})
 		}
 	}
 	return found
 }
 
-// preemptibleTasks lists the running tasks that lose nothing when they are stopped but the
-// way back, and the tasks by the candidates' numbers.
+// preemptibleTasks returns the running tasks that save checkpoints, which lose only the time to
+// save and restart when they are stopped, as candidates for preemption. The ID of a candidate is
+// its index in tasks.
 func (c *Core) preemptibleTasks(machines []*allocation.Machine) (candidates []allocation.Preemptible, tasks []taskRef) {
-	at := make(map[string]*allocation.Machine, len(machines))
-	for _, m := range machines {
-		at[m.ID] = m
+	machineByID := make(map[string]*allocation.Machine, len(machines))
+	for _, machine := range machines {
+		machineByID[machine.ID] = machine
 	}
-	for _, j := range c.sortedJobs() {
-		if j.CheckS <= 0 || j.Gang || j.Cancelled || c.jobs.Open[j.ID] != j {
+	for _, job := range c.sortedJobs() {
+		if job.CheckS <= 0 || job.Gang || job.Cancelled || c.jobs.Open[job.ID] != job {
 			continue
 		}
-		for _, task := range j.AssignedTasks() {
-			a := j.Assigned[task]
-			m := at[a.Machine]
-			short := c.now.Steady-a.RunningSince < limits.PreemptMinRun
-			if a.State != jobs.Running || short || m == nil || c.preemptions[a.Machine] != nil {
+		for _, task := range job.AssignedTasks() {
+			assignment := job.Assigned[task]
+			machine := machineByID[assignment.Machine]
+			tooShort := c.now.Steady-assignment.RunningSince < limits.PreemptMinRun
+			if assignment.State != jobs.Running || tooShort || machine == nil || c.preemptions[assignment.Machine] != nil {
 				continue
 			}
-			candidates = append(candidates, allocation.Preemptible{ID: len(tasks), Team: j.Team, Machine: m, Need: need(j), Low: j.Urgency == wire.UrgencyLow})
-			tasks = append(tasks, taskRef{j, task})
+			candidates = append(candidates, allocation.Preemptible{ID: len(tasks), Team: job.Team, Machine: machine, Need: taskResources(job), Low: job.Urgency == wire.UrgencyLow})
+			tasks = append(tasks, taskRef{job, task})
 		}
 	}
 	return candidates, tasks
 }
 
-// mustPreempt tells whether a task is to end so that a job which has a right to
-// its room can start.
+// mustPreempt reports whether a task's attempt must be stopped to free its resources for a job
+// that is entitled to them.
 func (c *Core) mustPreempt(machine, task string, attempt uint64) bool {
-	k := c.preemptions[machine]
-	return k != nil && k.tasks[task] == attempt
+	entry := c.preemptions[machine]
+	return entry != nil && entry.tasks[task] == attempt
 }
--- a/internal/controller/renewals.go
+++ b/internal/controller/renewals.go
@@ -12,80 +12,83 @@
 	"umberpaddle/internal/workers"
 )
 
-// renewalCounts count the answers to reports of machines of ours, by what the report proved and why
-// the answer was allowed or withheld.
+// renewalCounts counts the answers to reports of machines of the classes that this node owns, by
+// what the report proved and by why the answer was allowed or withheld.
 type renewalCounts struct {
-	Current   int // 200 to a report whose list is the truth
-	Overtaken int // 200 to a report older than an order's answer
-	Unproven  int // 200 to a report that had not seen our token
-	Bounded   int // of these, limited in time by an order that may start a cancelled task
-	Stopping  int // of these, with stops of cancelled tasks
-	Withheld  int // not given, since an order may start a cancelled task too late
-	// Reports whose answer waited until the machine had seen our token, since an earlier owner's
-	// order may start a cancelled task: Fenced of them were answered with 200 after that, NotFenced
-	// refused. FenceOrders counts the orders for it, FenceLeases the machines whose lease
-	// ended after such a refusal.
+	Current   int // answered with 200: the report's task list is current
+	Overtaken int // answered with 200: the report is older than the answer to an order
+	Unproven  int // answered with 200: the worker had not seen this owner's fencing token
+	Bounded   int // of the renewals: limited in time by an order that may start a cancelled task
+	Stopping  int // of the renewals: with stops of cancelled tasks
+	Withheld  int // refused: an order may start a cancelled task, and the lease would end too late
+	// FenceHeld counts the reports whose answer waited until the worker had seen this owner's
+	// fencing token, since an earlier owner's order may start a cancelled task. Fenced of them were
+	// then answered with 200, and NotFenced were refused. FenceOrders counts the fences that were
+	// sent for them, and FenceLeases the machines whose lease ended after such a refusal.
 	FenceHeld, Fenced, NotFenced, FenceOrders, FenceLeases int
-	// Violations counts answers that would have left a cancelled task running: each is a fault of
+	// Violations counts the answers that would have left a cancelled task running. Each is a bug in
 	// this program.
 	Violations int
 }
 
-// renew answers a report of a machine of ours with 200, which starts its lease anew. No 200 to a
-// report leaves by another way. Guards against leaders that followed each other and each renewed a
-// machine without stops, because its report proved nothing yet: a cancelled task ran on.
-func (c *Core) renew(x Checkin, m *workers.Machine, proved workers.Verdict) {
-	question := c.renewalOf(m, x.Report, proved)
-	verdict := c.judge.JudgeRenewal(question)
+// renew answers a report of a machine of an owned class with 200, which restarts the machine's
+// lease. Every 200 to a report must go through renew. Otherwise successive owners may each renew a
+// machine without stopping its tasks, because its report proves nothing to them yet, and a
+// cancelled task keeps running.
+func (c *Core) renew(checkin Checkin, machine *workers.Machine, reportVerdict workers.Verdict) {
+	renewal := c.buildRenewal(machine, checkin.Report, reportVerdict)
+	verdict := c.renewalRules.DecideRenewal(renewal)
 	switch {
-	case verdict.Fence:
-		c.fenceFirst(x, m, verdict)
+	case verdict.FenceFirst:
+		c.holdForFence(checkin, machine, verdict)
 		return
 	case !verdict.Renew:
-		c.withhold(x, m, verdict)
+		c.withholdRenewal(checkin, machine, verdict)
 		return
 	}
-	m.NotFenced = false
-	body := wire.ReportReply{Token: m.Term, Commands: verdict.Stops}
-	if proved == workers.Current {
-		c.dirty = true
-		body.Commands = c.currentCommands(m)
+	machine.NotFenced = false
+	body := wire.ReportReply{Token: machine.Term, Commands: verdict.Stops}
+	if reportVerdict == workers.Current {
+		c.schedulingDue = true
+		body.Commands = c.currentCommands(machine)
 	}
 	if body.Commands == nil {
 		body.Commands = []wire.Command{}
 	}
-	if err := c.judge.CheckAnswer(question, body.Commands); err != nil {
+	if err := c.renewalRules.CheckAnswer(renewal, body.Commands); err != nil {
 		c.renewals.Violations++
-		c.log(slog.LevelError, "renewal withheld: it would leave a cancelled task running", "machine", m.ID, "session", m.Session, "term", m.Term, "error", err)
-		c.refuseReport(x)
+		c.log(slog.LevelError, "renewal withheld: it would leave a cancelled task running", "machine", machine.ID, "session", machine.Session, "term", machine.Term, "error", err)
+		c.refuseReport(checkin)
 		return
 	}
-	c.countRenewal(m, proved, verdict, question.Listed)
-	// Judged when it leaves: guards against a node that stands still in between.
-	c.out = append(c.out, Answer{Ref: x.Ref, Status: 200, Body: body, Until: verdict.Until})
+	c.countRenewal(machine, reportVerdict, verdict, renewal.MustStop)
+	// The server checks Until when it sends the answer. Without that check, a node that is paused
+	// between this step and the send would renew the lease too late.
+	c.outputs = append(c.outputs, Answer{Ref: checkin.Ref, Status: 200, Body: body, Until: verdict.Deadline})
 }
 
-// withhold refuses to renew a machine: it keeps its tasks for what is left of its lease.
-func (c *Core) withhold(x Checkin, m *workers.Machine, v authority.Verdict) {
+// withholdRenewal refuses to renew a machine's lease. The machine keeps its tasks until the lease
+// ends.
+func (c *Core) withholdRenewal(checkin Checkin, machine *workers.Machine, verdict authority.Decision) {
 	c.renewals.Withheld++
-	c.log(slog.LevelInfo, "renewal withheld", "machine", m.ID, "session", m.Session, "term", m.Term, "reason", string(v.Reason), "attempt", v.Cause.String(), "job", v.CauseJob)
-	c.refuseReport(x)
+	c.log(slog.LevelInfo, "renewal withheld", "machine", machine.ID, "session", machine.Session, "term", machine.Term, "reason", string(verdict.Reason), "attempt", verdict.Cause.String(), "job", verdict.CauseJob)
+	c.refuseReport(checkin)
 }
 
-// currentCommands lists what a machine whose list is the truth is told.
-func (c *Core) currentCommands(m *workers.Machine) []wire.Command {
-	commands := c.reconcile(m, nil, false)
+// currentCommands returns the commands for a machine whose report is current.
+func (c *Core) currentCommands(machine *workers.Machine) []wire.Command {
+	commands := c.reconcile(machine, nil, false)
 	if c.ownership.MayLaunch() {
-		c.allocateOn(m)
-		commands = c.launchCommands(m, commands)
-		commands = c.repeatLaunches(m, commands)
+		c.allocateOnMachine(machine)
+		commands = c.launchCommands(machine, commands)
+		commands = c.repeatLaunches(machine, commands)
 	}
 	return commands
 }
 
-// countRenewal counts a renewal, and logs one that stops tasks or is limited in time.
-func (c *Core) countRenewal(m *workers.Machine, proved workers.Verdict, v authority.Verdict, stopped []authority.Attempt) {
-	switch proved {
+// countRenewal counts a renewal, and logs it if it stops tasks or is limited in time.
+func (c *Core) countRenewal(machine *workers.Machine, reportVerdict workers.Verdict, verdict authority.Decision, stopped []authority.Attempt) {
+	switch reportVerdict {
 	case workers.Unproven:
 		c.renewals.Unproven++
 	case workers.Overtaken:
@@ -95,110 +98,112 @@
 	}
 	if len(stopped) > 0 {
 		c.renewals.Stopping++
-		c.log(slog.LevelDebug, "tasks stopped", "machine", m.ID, "stops", len(stopped), "first", stopped[0].String())
+		c.log(slog.LevelDebug, "tasks stopped", "machine", machine.ID, "stops", len(stopped), "first", stopped[0].String())
 	}
-	if v.Reason == authority.InTime {
+	if verdict.Reason == authority.InTime {
 		c.renewals.Bounded++
 	}
-	if v.Reason != authority.NothingCancelled {
-		c.log(slog.LevelDebug, "renewed", "machine", m.ID, "session", m.Session, "term", m.Term, "proved", proved.String(), "reason", string(v.Reason))
+	if verdict.Reason != authority.NothingCancelled {
+		c.log(slog.LevelDebug, "renewed", "machine", machine.ID, "session", machine.Session, "term", machine.Term, "proved", reportVerdict.String(), "reason", string(verdict.Reason))
 	}
 }
 
-// renewalOf gathers what is known of a machine whose report is to be answered.
-func (c *Core) renewalOf(m *workers.Machine, r *wire.Report, proved workers.Verdict) authority.Renewal {
-	list := r.Tasks
-	if proved == workers.Overtaken {
-		list = m.Tasks // newer than the report
-	}
-	renewal := authority.Renewal{
-		Now:          c.now.Steady,
-		ActUntil:     c.ownership.ActUntil(),
-		MaxStaleness: c.ownership.MaxStaleness,
-		Listed:       c.listedToEnd(list),
-		MayStart:     c.possibleStarts(m, list),
-	}
-	if proved == workers.Unproven {
-		renewal.EarlierOrders = c.earlierOrders(m, r.Token)
+// buildRenewal returns the input for the decision whether to answer a machine's report with 200.
+func (c *Core) buildRenewal(machine *workers.Machine, report *wire.Report, reportVerdict workers.Verdict) authority.RenewalInput {
+	tasks := report.Tasks
+	if reportVerdict == workers.Overtaken {
+		tasks = machine.Tasks // newer than the report
+	}
+	renewal := authority.RenewalInput{
+		Now:            c.now.Steady,
+		AnswerDeadline: c.ownership.AnswerDeadline(),
+		MaxStaleness:   c.ownership.MaxStaleness,
+		MustStop:       c.listedToStop(tasks),
+		MayStart:       c.possibleStarts(machine, tasks),
+	}
+	if reportVerdict == workers.Unproven {
+		renewal.EarlierOrders = c.earlierOrders(machine, report.Token)
 	}
 	return renewal
 }
 
-// earlierOrders lists the cancelled jobs of which an earlier owner may have sent a machine an order
-// that is still under way. The worker has seen token as the highest.
+// earlierOrders returns the cancelled jobs for which an earlier owner may have sent the machine an
+// order that is still outstanding. token is the highest fencing token that the worker has seen.
 //
-// An owner sends orders only to machines that have shown it its own term as their highest token, and
-// that are recorded. So what the worker may still carry out was ordered under the term that it names,
-// or a later one; and no owner launches what was cancelled before its term began.
-func (c *Core) earlierOrders(m *workers.Machine, token uint64) (orders []authority.EarlierOrder) {
-	if !c.machineRecords[m.ID].Up {
+// An owner sends orders only to machines that are recorded and that have reported the owner's term
+// as their highest token. So any order that the worker may still carry out was sent under the
+// reported term or a later one, and no owner launches tasks of a job that was cancelled before its
+// term began.
+func (c *Core) earlierOrders(machine *workers.Machine, token uint64) (orders []authority.EarlierOrder) {
+	if !c.machineRecords[machine.ID].Up {
 		return nil
 	}
-	for _, j := range c.jobs.CancelledAfter(token) {
-		if j.TypeSet[m.Class] && (j.Zone == "" || j.Zone == m.Zone) && (j.Spot || !m.Spot) {
-			orders = append(orders, authority.EarlierOrder{Job: j.ID, ToldAfter: j.ToldAfter})
+	for _, job := range c.jobs.CancelledAfter(token) {
+		if job.TypeSet[machine.Class] && (job.Zone == "" || job.Zone == machine.Zone) && (job.Spot || !machine.Spot) {
+			orders = append(orders, authority.EarlierOrder{Job: job.ID, ConfirmedAfter: job.CancelConfirmedAfter})
 		}
 	}
 	return orders
 }
 
-// listedToEnd picks from a machine's list the attempts that have not ended and must: of cancelled
-// jobs and of none that is known.
-func (c *Core) listedToEnd(list []wire.TaskReport) (attempts []authority.Attempt) {
-	for _, t := range list {
-		if t.State == wire.TaskEnded {
+// listedToStop returns the listed attempts that have not ended and must be stopped: those of
+// cancelled jobs, and those that belong to no known task.
+func (c *Core) listedToStop(tasks []wire.TaskReport) (attempts []authority.Attempt) {
+	for _, report := range tasks {
+		if report.State == wire.TaskEnded {
 			continue
 		}
-		id, task := jobs.SplitTask(t.Task)
-		if j := c.jobs.Open[id]; j == nil || j.Cancelled || task < 0 || task >= j.Tasks {
-			attempts = append(attempts, authority.Attempt{Task: t.Task, Number: t.Attempt})
+		jobID, task := jobs.SplitTaskID(report.Task)
+		if job := c.jobs.Open[jobID]; job == nil || job.Cancelled || task < 0 || task >= job.Tasks {
+			attempts = append(attempts, authority.Attempt{Task: report.Task, Number: report.Attempt})
 		}
 	}
 	return attempts
 }
 
-// possibleStarts lists the attempts of cancelled jobs that a machine does not list and that an
-// order of ours, under way or never answered, may still start. Whatever the machine lists, an order starts
-// no more: a worker ignores the launch of an attempt that it has, and an ended attempt is not
-// cleared while an order for it is unanswered.
-func (c *Core) possibleStarts(m *workers.Machine, list []wire.TaskReport) (starts []authority.PossibleStart) {
-	if len(m.Orders) == 0 {
+// possibleStarts returns the attempts of cancelled jobs that the machine does not list and that an
+// order of this owner, outstanding or never answered, may still start. An order cannot start an
+// attempt that the machine lists: a worker ignores the launch of an attempt that it already has,
+// and an ended attempt is not cleared while an order for it is unanswered.
+func (c *Core) possibleStarts(machine *workers.Machine, tasks []wire.TaskReport) (starts []authority.PossibleStart) {
+	if len(machine.Orders) == 0 {
 		return nil
 	}
-	for _, n := range slices.Sorted(maps.Keys(m.Orders)) {
-		order := m.Orders[n]
-		if !order.MayStartTasks() || lists(list, order.Task, n) {
+	for _, number := range slices.Sorted(maps.Keys(machine.Orders)) {
+		order := machine.Orders[number]
+		if !order.MayStartTasks() || containsAttempt(tasks, order.Task, number) {
 			continue
 		}
-		id, _ := jobs.SplitTask(order.Task)
-		toldAfter, cancelled := c.cancellationOf(id, order)
+		jobID, _ := jobs.SplitTaskID(order.Task)
+		acknowledgedAfter, cancelled := c.orderCancellation(jobID, order)
 		if cancelled {
-			starts = append(starts, authority.PossibleStart{Attempt: authority.Attempt{Task: order.Task, Number: n}, ToldAfter: toldAfter})
+			starts = append(starts, authority.PossibleStart{Attempt: authority.Attempt{Task: order.Task, Number: number}, ConfirmedAfter: acknowledgedAfter})
 		}
 	}
 	return starts
 }
 
-// lists tells whether a machine's list shows an attempt, in any state.
-func lists(list []wire.TaskReport, task string, number uint64) bool {
-	for _, t := range list {
-		if t.Task == task && t.Attempt == number {
+// containsAttempt reports whether a task list contains an attempt, in any state.
+func containsAttempt(tasks []wire.TaskReport, task string, number uint64) bool {
+	for _, report := range tasks {
+		if report.Task == task && report.Attempt == number {
 			return true
 		}
 	}
 	return false
 }
 
-// cancellationOf tells whether the job of an order is cancelled, and since when a user may know.
-// The order's own record is asked, not the assignments: guards against an order that nobody kept
-// account of once its job's record was read anew.
-func (c *Core) cancellationOf(id string, order *workers.Order) (toldAfter time.Duration, cancelled bool) {
-	if j := c.jobs.Open[id]; j != nil {
-		return j.ToldAfter, j.Cancelled
-	}
-	if c.jobs.IsDone(id) {
+// orderCancellation reports whether the job of an order is cancelled, and returns the earliest time
+// at which a user can have received the confirmation. It uses the order's own record instead of the
+// job's assignments, because assignments are lost when the job's record is read again, and the
+// order would then be missed.
+func (c *Core) orderCancellation(jobID string, order *workers.Order) (acknowledgedAfter time.Duration, cancelled bool) {
+	if job := c.jobs.Open[jobID]; job != nil {
+		return job.CancelConfirmedAfter, job.Cancelled
+	}
+	if c.jobs.IsDone(jobID) {
 		order.JobDone = true
 		return 0, false
 	}
-	return jobs.ToldLongAgo, true
+	return jobs.ConfirmedAtAnyTime, true
 }
