--- a/internal/controller/rental_plan.go
+++ b/internal/controller/rental_plan.go
@@ -12,51 +12,51 @@
 	"umberpaddle/internal/wire"
 )
 
-// planFleet rents for the work that fits nowhere and returns what is idle.
+// planFleet rents machines for work that fits on no existing machine and returns idle machines.
 func (c *Core) planFleet() {
 	if len(c.fleet.Types) == 0 || !c.fleet.Listed {
 		return
 	}
 	c.fleet.RemoveDeadRentals(c.now.Steady-c.lastReport <= c.maxReportGap(), c.reportsResumedAt)
 	c.logUsage()
-	machines, capacity, unseen := c.availableMachines(true)
-	teams := c.teamDemands(true, unseen)
-	machines = append(machines, c.bootingMachines()...) // they take their part first
+	machines, capacity, unresolved := c.availableMachines(true)
+	teams := c.teamDemands(true, unresolved)
+	machines = append(machines, c.bootingMachines()...) // counted before new machines are rented
 	used := map[string]bool{}
-	for _, p := range allocation.Run(teams, machines, capacity, c.largestUnits()) {
-		used[p.Machine.ID] = true
+	for _, placement := range allocation.Run(teams, machines, capacity, c.largestUnits()) {
+		used[placement.Machine.ID] = true
 	}
-	c.returnIdle(used)
+	c.returnIdleMachines(used)
 	plan := &rentalPlan{counts: map[fleet.Kind]int{}}
-	lacking := c.shortfalls(machines)
+	shortfallByJob := c.shortfalls(machines)
 	for _, team := range teams {
-		c.planRentals(plan, team, lacking)
+		c.planRentals(plan, team, shortfallByJob)
 	}
 	c.rentForSmallTasks(plan, machines)
 	for _, kind := range sortedKinds(plan.counts) {
-		for n := plan.counts[kind]; n > 0 && c.fleet.MayRent(kind); n -= limits.RentMost {
-			c.fleet.Rent(kind, n)
+		for count := plan.counts[kind]; count > 0 && c.fleet.MayRent(kind); count -= limits.RentMost {
+			c.fleet.Rent(kind, count)
 		}
 	}
 }
 
-// bootingMachines lists the machines that are on their way, with all their room.
+// bootingMachines returns the rented machines that are still booting, with their full capacity.
 func (c *Core) bootingMachines() []*allocation.Machine {
 	var machines []*allocation.Machine
 	booting := c.fleet.Booting()
 	for _, kind := range sortedKinds(booting) {
-		t := c.fleet.Types[kind.Class]
-		if _, ours := c.active[kind.Class]; !ours || t == nil {
+		machineType := c.fleet.Types[kind.Class]
+		if _, owned := c.activeTerms[kind.Class]; !owned || machineType == nil {
 			continue
 		}
 		for range booting[kind] {
-			machines = append(machines, &allocation.Machine{Class: kind.Class, Zone: kind.Zone, Spot: kind.Spot, Free: size(t)})
+			machines = append(machines, &allocation.Machine{Class: kind.Class, Zone: kind.Zone, Spot: kind.Spot, Free: typeCapacity(machineType)})
 		}
 	}
 	return machines
 }
 
-// sortedKinds lists the kinds of machines in a count in a fixed order.
+// sortedKinds returns the machine kinds of a count in a deterministic order.
 func sortedKinds(counts map[fleet.Kind]int) []fleet.Kind {
 	var kinds []fleet.Kind
 	for kind := range counts {
@@ -66,220 +66,225 @@
 	return kinds
 }
 
-// planRentals plans machines for a team's units that fit nowhere, within the team's limit.
-func (c *Core) planRentals(plan *rentalPlan, team *allocation.Team, lacking map[string]shortfall) {
+// planRentals plans rentals for a team's units that fit on no existing machine, within the
+// team's limit.
+func (c *Core) planRentals(plan *rentalPlan, team *allocation.Team, shortfallByJob map[string]shortfall) {
 	total := team.Unknown
 	for _, booked := range team.Booked {
 		total = total.Add(booked, 1)
 	}
-	for _, u := range team.Units {
-		if j := c.jobs.Open[u.Job]; j == nil || j.Faulty() {
+	for _, unit := range team.Units {
+		if job := c.jobs.Open[unit.Job]; job == nil || job.Faulty() {
 			continue
 		}
 		plan.firstWithRoom = 0
-		if u.Gang {
-			whole := (allocation.Resources{}).Add(u.Need, float64(u.Count))
-			if withinLimit(team, total, whole) && c.fitGangOnRentals(u, plan) {
-				total = total.Add(whole, 1)
+		if unit.Gang {
+			gangTotal := (allocation.Resources{}).Add(unit.Need, float64(unit.Count))
+			if withinTeamLimit(team, total, gangTotal) && c.placeGangOnRentals(unit, plan) {
+				total = total.Add(gangTotal, 1)
 			}
 		} else {
-			total = c.planTasks(plan, team, u, total, lacking[u.Job])
+			total = c.planTaskRentals(plan, team, unit, total, shortfallByJob[unit.Job])
 		}
 	}
 }
 
-// planTasks plans machines for one unit's tasks and returns what the team then uses.
-func (c *Core) planTasks(plan *rentalPlan, team *allocation.Team, u *allocation.Unit, total allocation.Resources, lacks shortfall) allocation.Resources {
-	for ; u.Count > 0 && withinLimit(team, total, u.Need); u.Count-- {
-		if !c.fitOnRentals(u, lacks, plan) {
-			if plan.rentedCPUs < lacks.tight {
-				plan.refused = append(plan.refused, u)
+// planTaskRentals plans rentals for one unit's tasks and returns the team's resulting total use.
+func (c *Core) planTaskRentals(plan *rentalPlan, team *allocation.Team, unit *allocation.Unit, total allocation.Resources, missing shortfall) allocation.Resources {
+	for ; unit.Count > 0 && withinTeamLimit(team, total, unit.Need); unit.Count-- {
+		if !c.placeOnRentals(unit, missing, plan) {
+			if plan.rentedCPUs < missing.onTime {
+				plan.refusedUnits = append(plan.refusedUnits, unit)
 			}
 			break
 		}
-		total = total.Add(u.Need, 1)
+		total = total.Add(unit.Need, 1)
 	}
 	return total
 }
 
-// withinLimit tells whether a team that uses total may use more.
-func withinLimit(team *allocation.Team, total, more allocation.Resources) bool {
+// withinTeamLimit reports whether a team's limit allows it to use more on top of total.
+func withinTeamLimit(team *allocation.Team, total, more allocation.Resources) bool {
 	return !exceeds(total.CPUs+more.CPUs, team.MaxCPUs) && !exceeds(total.GPUs+more.GPUs, team.MaxGPUs)
 }
 
-// shortfall is how many CPUs more than there are a job's work and all work before it
-// call for: to be comfortably in time, and to be in time at all.
-type shortfall struct{ easy, tight float64 }
+// shortfall is the number of additional CPUs that a job's work and all work before it need:
+// to finish on time with a margin, and to finish just on time.
+type shortfall struct{ withMargin, onTime float64 }
 
-// shortfalls reckons what each job lacks. It treats the work as a fluid: with C
-// CPUs now and C' more after the boot time, C*T + C'*(T-boot) is done in time T.
-// So a burst of short tasks does not rent a machine for each of them.
+// shortfalls computes the shortfall of each job. It uses a fluid model of the work: C CPUs now
+// and C' more after the boot time complete C*T + C'*(T-boot) CPU seconds in time T. A burst of
+// short tasks therefore does not rent a machine for each task.
 func (c *Core) shortfalls(machines []*allocation.Machine) map[string]shortfall {
-	out := map[string]shortfall{}
-	have := map[string][2]float64{} // CPUs of each class: on ordinary and on spot machines
-	for _, m := range machines {
-		h := have[m.Class]
-		if m.Spot {
-			h[1] += c.fleet.Types[m.Class].CPUs
+	result := map[string]shortfall{}
+	capacity := map[string][2]float64{} // CPUs by class: on on-demand and on spot machines
+	for _, machine := range machines {
+		classCPUs := capacity[machine.Class]
+		if machine.Spot {
+			classCPUs[1] += c.fleet.Types[machine.Class].CPUs
 		} else {
-			h[0] += c.fleet.Types[m.Class].CPUs
+			classCPUs[0] += c.fleet.Types[machine.Class].CPUs
 		}
-		have[m.Class] = h
+		capacity[machine.Class] = classCPUs
 	}
-	before := 0.0
-	for _, j := range c.sortedJobs() {
-		if j.Cancelled || j.Faulty() {
+	workBefore := 0.0
+	for _, job := range c.sortedJobs() {
+		if job.Cancelled || job.Faulty() {
 			continue
 		}
-		before += remainingWork(j)
-		room, boot := 0.0, math.Inf(1)
-		for _, class := range j.Types {
-			h := have[class]
-			room += h[0]
-			if j.Spot {
-				room += h[1]
+		workBefore += remainingWork(job)
+		capacityCPUs, bootS := 0.0, math.Inf(1)
+		for _, class := range job.Types {
+			classCPUs := capacity[class]
+			capacityCPUs += classCPUs[0]
+			if job.Spot {
+				capacityCPUs += classCPUs[1]
 			}
 			if t := c.fleet.Types[class]; t != nil {
-				boot = min(boot, t.BootS)
+				bootS = min(bootS, t.BootS)
 			}
 		}
-		left, hopeful := c.timeLeft(j)
-		if !hopeful || math.IsInf(left, 1) {
-			left = limits.RentHorizon.Seconds()
+		secondsLeft, canMeetTarget := c.timeLeft(job)
+		if !canMeetTarget || math.IsInf(secondsLeft, 1) {
+			secondsLeft = limits.RentHorizon.Seconds()
 		}
-		more := func(part float64) float64 {
-			t := max(left*part-j.EstimateS/2, boot+limits.RentLeast.Seconds())
-			return (before - room*t) / (t - boot)
+		additionalCPUs := func(share float64) float64 {
+			t := max(secondsLeft*share-job.EstimateS/2, bootS+limits.RentLeast.Seconds())
+			return (workBefore - capacityCPUs*t) / (t - bootS)
 		}
-		out[j.ID] = shortfall{easy: more(limits.EasyShare), tight: more(limits.TightShare)}
+		result[job.ID] = shortfall{withMargin: additionalCPUs(limits.EasyShare), onTime: additionalCPUs(limits.TightShare)}
 	}
-	return out
+	return result
 }
 
-// rentalPlan is what a look at the fleet wants to rent.
+// rentalPlan holds the machines that one fleet planning run wants to rent.
 type rentalPlan struct {
 	rentals       []*allocation.Machine
 	counts        map[fleet.Kind]int
-	rentedCPUs    float64 // of all rentals
-	firstWithRoom int     // rentals before this one have no room for the unit at hand
-	// refused lists units that lack machines of which the cloud has no more.
-	refused []*allocation.Unit
+	rentedCPUs    float64 // total of the rentals planned for units
+	firstWithRoom int     // rentals before this index can't fit the current unit
+	// refused lists units that need more machines of classes that the cloud has run out of.
+	refusedUnits []*allocation.Unit
 }
 
-// scarce lists the classes of which refused units lack machines, and the CPUs that they lack.
-func (p *rentalPlan) scarce() (classes map[string]bool, lackedCPUs float64) {
+// scarceClasses returns the classes that the refused units may use, and the CPUs that these
+// units still need.
+func (p *rentalPlan) scarceClasses() (classes map[string]bool, lackedCPUs float64) {
 	classes = map[string]bool{}
-	for _, u := range p.refused {
-		for class := range u.Classes {
+	for _, unit := range p.refusedUnits {
+		for class := range unit.Classes {
 			classes[class] = true
 		}
-		lackedCPUs += float64(u.Count) * u.Need.CPUs
+		lackedCPUs += float64(unit.Count) * unit.Need.CPUs
 	}
 	return classes, lackedCPUs
 }
 
-// fit puts a unit on a machine that is planned already, if it has room.
-func (p *rentalPlan) fit(u *allocation.Unit) bool {
+// place puts one task of a unit on a rental that is already planned and reports whether one
+// had enough free resources.
+func (p *rentalPlan) place(unit *allocation.Unit) bool {
 	for ; p.firstWithRoom < len(p.rentals); p.firstWithRoom++ {
-		m := p.rentals[p.firstWithRoom]
-		if u.Need.Fits(m.Free) && u.Classes[m.Class] && (!m.Spot || u.Spot) && (u.Zone == "" || u.Zone == m.Zone) {
-			m.Free = m.Free.Add(u.Need, -1)
+		rental := p.rentals[p.firstWithRoom]
+		if unit.Need.Fits(rental.Free) && unit.Classes[rental.Class] && (!rental.Spot || unit.Spot) && (unit.Zone == "" || unit.Zone == rental.Zone) {
+			rental.Free = rental.Free.Add(unit.Need, -1)
 			return true
 		}
 	}
 	return false
 }
 
-// add plans one machine more.
-func (p *rentalPlan) add(kind fleet.Kind, free allocation.Resources) {
+// addRental adds a machine to the plan.
+func (p *rentalPlan) addRental(kind fleet.Kind, free allocation.Resources) {
 	p.rentals = append(p.rentals, &allocation.Machine{Class: kind.Class, Zone: kind.Zone, Spot: kind.Spot, Free: free})
 	p.counts[kind]++
 }
 
-// rentForSmallTasks rents machines for work that could leave the classes that the cloud
-// has no more of to units that fit nowhere else: small tasks may use classes
-// that large ones can't, but found room in a class that both use.
+// rentForSmallTasks plans machines that take small tasks off scarce classes, which the cloud
+// has run out of. Large tasks may fit on no other class, while small tasks that occupy a scarce
+// class could also run elsewhere.
 func (c *Core) rentForSmallTasks(plan *rentalPlan, machines []*allocation.Machine) {
-	scarce, lacked := plan.scarce()
-	clear(c.keepIdle)
-	if lacked == 0 {
+	scarceClasses, lackedCPUs := plan.scarceClasses()
+	clear(c.keptIdleClasses)
+	if lackedCPUs == 0 {
 		return
 	}
 	for _, class := range c.fleet.Classes() {
-		t := c.fleet.Types[class]
-		if _, ours := c.active[class]; !ours || scarce[class] {
+		machineType := c.fleet.Types[class]
+		if _, owned := c.activeTerms[class]; !owned || scarceClasses[class] {
 			continue
 		}
-		movable := c.movableCPUs(class, scarce, machines)
-		for _, zone := range t.Zones {
+		movable := c.movableCPUs(class, scarceClasses, machines)
+		for _, zone := range machineType.Zones {
 			kind := fleet.Kind{Class: class, Zone: zone, Spot: true}
-			for len(plan.rentals) < limits.RentalsPlanned && min(movable, lacked) >= t.CPUs && c.operator.Spot() && c.fleet.Available(kind) {
-				plan.add(kind, allocation.Resources{})
-				movable -= t.CPUs
-				lacked -= t.CPUs
+			for len(plan.rentals) < limits.RentalsPlanned && min(movable, lackedCPUs) >= machineType.CPUs && c.operator.Spot() && c.fleet.Available(kind) {
+				plan.addRental(kind, allocation.Resources{})
+				movable -= machineType.CPUs
+				lackedCPUs -= machineType.CPUs
 			}
 		}
 	}
 }
 
-// movableCPUs is how many CPUs of scarce classes are taken by tasks of jobs that may use
-// another class as well, beyond the room that this class has. It marks the class as one whose
-// idle machines stay, if any job may use it so.
-func (c *Core) movableCPUs(class string, scarce map[string]bool, machines []*allocation.Machine) float64 {
+// movableCPUs returns the CPUs on scarce classes that are used by tasks of jobs that may also
+// use the given class, minus the free CPUs of that class. If there is such a job, the idle
+// machines of the given class are marked to be kept.
+func (c *Core) movableCPUs(class string, scarceClasses map[string]bool, machines []*allocation.Machine) float64 {
 	movable := 0.0
-	for _, j := range c.jobs.Open {
-		if !j.Active || !j.TypeSet[class] || j.Cancelled || !j.Spot {
+	for _, job := range c.jobs.Open {
+		if !job.Active || !job.TypeSet[class] || job.Cancelled || !job.Spot {
 			continue
 		}
-		c.keepIdle[class] = true
-		for _, a := range j.Assigned {
-			if m := c.pool.Machines[a.Machine]; m != nil && scarce[m.Class] {
-				movable += j.CPUs
+		c.keptIdleClasses[class] = true
+		for _, assignment := range job.Assigned {
+			if machine := c.pool.Machines[assignment.Machine]; machine != nil && scarceClasses[machine.Class] {
+				movable += job.CPUs
 			}
 		}
 	}
-	for _, m := range machines {
-		if m.Class == class {
-			movable -= m.Free.CPUs
+	for _, machine := range machines {
+		if machine.Class == class {
+			movable -= machine.Free.CPUs
 		}
 	}
 	return movable
 }
 
-// fitOnRentals puts a unit on a machine still to be rented, adding the cheapest
-// suitable one if the job lacks that much: cheap machines so that it is easily
-// in time, dear ones only so that it is in time.
-func (c *Core) fitOnRentals(u *allocation.Unit, lacks shortfall, plan *rentalPlan) bool {
-	if plan.fit(u) {
+// placeOnRentals puts one task of a unit on a planned rental. If none has room, it plans the
+// cheapest suitable machine, provided the job's shortfall justifies it: spot machines are rented
+// to finish with a margin, on-demand machines for a unit that may use spot only to finish just
+// on time.
+func (c *Core) placeOnRentals(unit *allocation.Unit, missing shortfall, plan *rentalPlan) bool {
+	if plan.place(unit) {
 		return true
 	}
 	if len(plan.rentals) >= limits.RentalsPlanned {
 		return false
 	}
-	kind, ok := c.cheapestKind(u, func(spot bool) bool {
-		return plan.rentedCPUs < lacks.easy && (spot || !u.Spot || plan.rentedCPUs < lacks.tight)
+	kind, ok := c.cheapestKind(unit, func(spot bool) bool {
+		return plan.rentedCPUs < missing.withMargin && (spot || !unit.Spot || plan.rentedCPUs < missing.onTime)
 	})
 	if !ok {
 		return false
 	}
-	t := c.fleet.Types[kind.Class]
-	plan.add(kind, size(t).Add(u.Need, -1))
-	plan.rentedCPUs += t.CPUs
+	machineType := c.fleet.Types[kind.Class]
+	plan.addRental(kind, typeCapacity(machineType).Add(unit.Need, -1))
+	plan.rentedCPUs += machineType.CPUs
 	return true
 }
 
-// cheapestKind finds the kind of machine that a unit may use, that the cloud has, and that
-// costs least for each of its tasks. may tells whether spot, or ordinary, machines are wanted.
-func (c *Core) cheapestKind(u *allocation.Unit, may func(spot bool) bool) (best fleet.Kind, ok bool) {
+// cheapestKind returns the kind of machine with the lowest price per task among the kinds that
+// the unit may use and the cloud can provide. allowed reports whether spot or on-demand machines
+// may be rented.
+func (c *Core) cheapestKind(unit *allocation.Unit, allowed func(spot bool) bool) (best fleet.Kind, ok bool) {
 	cost := 0.0
 	for _, class := range c.fleet.Classes() {
-		if !u.Classes[class] {
+		if !unit.Classes[class] {
 			continue
 		}
-		t := c.fleet.Types[class]
-		tasks := max(1, u.Need.CountIn(size(t)))
-		for _, kind := range c.kindsFor(u, t) {
-			if !may(kind.Spot) {
+		machineType := c.fleet.Types[class]
+		tasks := max(1, unit.Need.CountIn(typeCapacity(machineType)))
+		for _, kind := range c.kindsFor(unit, machineType) {
+			if !allowed(kind.Spot) {
 				continue
 			}
 			if price := c.fleet.Price(kind) / float64(tasks); !ok || price < cost {
@@ -290,79 +295,81 @@
 	return best, ok
 }
 
-// kindsFor lists the kinds of one machine type that a unit may use and that the cloud has not
-// refused a moment ago, spot machines of a zone first.
-func (c *Core) kindsFor(u *allocation.Unit, t *wire.MachineType) []fleet.Kind {
+// kindsFor returns the kinds of one machine type that a unit may use and that the cloud has not
+// recently refused, in each zone spot before on-demand.
+func (c *Core) kindsFor(unit *allocation.Unit, machineType *wire.MachineType) []fleet.Kind {
 	var kinds []fleet.Kind
-	for _, zone := range t.Zones {
-		if u.Zone != "" && u.Zone != zone {
+	for _, zone := range machineType.Zones {
+		if unit.Zone != "" && unit.Zone != zone {
 			continue
 		}
-		spot := fleet.Kind{Class: t.Name, Zone: zone, Spot: true}
-		if u.Spot && c.operator.Spot() && c.fleet.Available(spot) {
+		spot := fleet.Kind{Class: machineType.Name, Zone: zone, Spot: true}
+		if unit.Spot && c.operator.Spot() && c.fleet.Available(spot) {
 			kinds = append(kinds, spot)
 		}
-		if ordinary := (fleet.Kind{Class: t.Name, Zone: zone}); c.fleet.Available(ordinary) {
-			kinds = append(kinds, ordinary)
+		if onDemand := (fleet.Kind{Class: machineType.Name, Zone: zone}); c.fleet.Available(onDemand) {
+			kinds = append(kinds, onDemand)
 		}
 	}
 	return kinds
 }
 
-// fitGangOnRentals puts a gang on machines still to be rented, all of it or nothing: what there
-// is takes a part of it at best. Whatever its deadline, since its tasks wait together.
-func (c *Core) fitGangOnRentals(u *allocation.Unit, plan *rentalPlan) bool {
-	before, counts, rented := len(plan.rentals), maps.Clone(plan.counts), plan.rentedCPUs
-	unit := *u
-	always := shortfall{easy: math.Inf(1), tight: math.Inf(1)}
-	for range u.Count {
+// placeGangOnRentals puts a whole gang on planned rentals, or none of it, because the existing
+// machines have room for a part of the gang at best. It ignores the gang's deadline, because no
+// task of a gang can proceed before all tasks have a machine.
+func (c *Core) placeGangOnRentals(gang *allocation.Unit, plan *rentalPlan) bool {
+	rentalsBefore, countsBefore, rentedCPUsBefore := len(plan.rentals), maps.Clone(plan.counts), plan.rentedCPUs
+	task := *gang
+	unbounded := shortfall{withMargin: math.Inf(1), onTime: math.Inf(1)}
+	for range gang.Count {
 		plan.firstWithRoom = 0
-		if !c.fitOnRentals(&unit, always, plan) {
-			// What was added has room for others, but nobody asked for it.
-			plan.rentals, plan.counts, plan.rentedCPUs = plan.rentals[:before], counts, rented
+		if !c.placeOnRentals(&task, unbounded, plan) {
+			// Rentals added for this gang are dropped: no other unit needs them.
+			plan.rentals, plan.counts, plan.rentedCPUs = plan.rentals[:rentalsBefore], countsBefore, rentedCPUsBefore
 			return false
 		}
-		if u.OneZone && unit.Zone == "" && len(plan.rentals) > before {
-			unit.Zone = plan.rentals[len(plan.rentals)-1].Zone
+		if gang.OneZone && task.Zone == "" && len(plan.rentals) > rentalsBefore {
+			task.Zone = plan.rentals[len(plan.rentals)-1].Zone
 		}
 	}
 	return true
 }
 
-// idleLimit is how long a machine of a class may be idle. Keeping it as long as
-// its successor would take to boot costs at most twice what the best choice
-// with hindsight costs.
+// idleLimit returns how long a machine of a class may be idle before it is returned. Keeping an
+// idle machine for the boot time of its replacement costs at most twice the optimum with
+// hindsight.
 func (c *Core) idleLimit(class string) time.Duration {
 	if c.operator.IdleReturnS > 0 {
 		return limits.Seconds(c.operator.IdleReturnS)
 	}
-	if t := c.fleet.Types[class]; t != nil {
-		return limits.Seconds(t.BootS * limits.IdleBoots)
+	if machineType := c.fleet.Types[class]; machineType != nil {
+		return limits.Seconds(machineType.BootS * limits.IdleBoots)
 	}
 	return limits.MinCharge
 }
 
-// returnIdle gives back machines that had nothing to do for a while.
-func (c *Core) returnIdle(used map[string]bool) {
-	t := c.now.Steady
-	for _, m := range c.pool.Sorted() {
-		r := c.fleet.Rentals[m.ID]
-		if r == nil || m.Deleting || !m.Adopted {
+// returnIdleMachines returns to the cloud the machines that have been idle for longer than their
+// limit.
+func (c *Core) returnIdleMachines(used map[string]bool) {
+	steadyNow := c.now.Steady
+	for _, machine := range c.pool.Sorted() {
+		rental := c.fleet.Rentals[machine.ID]
+		if rental == nil || machine.Deleting || !machine.Adopted {
 			continue
 		}
-		// Machines that keep small tasks off scarce ones stay: guards against an
-		// incident in which they were returned by the hundred, with the images on
-		// them, and rented anew a few seconds later.
-		if c.tasksOn(m.ID) > 0 || used[m.ID] || c.reserved[m.ID] || c.keepIdle[m.Class] || c.holdsResults(m) {
-			r.Idle = 0
+		// Classes that take small tasks off scarce classes keep their idle machines. Without
+		// this rule, hundreds of these machines were returned in an incident, with the images
+		// on them, and rented again a few seconds later.
+		if c.tasksOn(machine.ID) > 0 || used[machine.ID] || c.gangOnlyMachines[machine.ID] || c.keptIdleClasses[machine.Class] || c.holdsUnstoredResults(machine) {
+			rental.Idle = 0
 			continue
 		}
-		if r.Idle == 0 {
-			r.Idle = t
+		if rental.Idle == 0 {
+			rental.Idle = steadyNow
 		}
-		wait := c.idleLimit(m.Class)
-		if t-r.Idle > wait && t-r.Since > limits.MinCharge {
-			c.returnMachine(m, fleet.ReturnIdle)
+		maxIdle := c.idleLimit(machine.Class)
+		if steadyNow-rental.Idle > maxIdle && steadyNow-rental.Since > limits.MinCharge {
+			c.returnMachine(machine, fleet.ReturnIdle)
 		}
 	}
 }
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -11,182 +11,189 @@
 	"umberpaddle/internal/workers"
 )
 
-// checkin answers a worker's report.
-func (c *Core) checkin(x Checkin) {
-	r := x.Report
-	term, ours := c.active[r.Type]
-	if !ours {
-		c.redirect(x)
+// handleCheckin answers a worker's report.
+func (c *Core) handleCheckin(checkin Checkin) {
+	report := checkin.Report
+	term, owned := c.activeTerms[report.Type]
+	if !owned {
+		c.redirectReport(checkin)
 		return
 	}
 	c.lastArrival = c.now.Steady
-	// A deleted machine's late report must not bring it back.
-	if !c.ownership.MayAnswer() || c.fleet.IsGone(r.Machine) || r.Machine == "" {
-		c.refuseReport(x)
+	// A late report of a deleted machine must not register the machine again.
+	if !c.ownership.MayAnswer() || c.fleet.IsGone(report.Machine) || report.Machine == "" {
+		c.refuseReport(checkin)
 		return
 	}
-	m, proved := c.receive(r, term)
-	if proved == workers.Stale || proved == workers.Deposed {
-		c.log(slog.LevelDebug, "report not taken", "machine", r.Machine, "session", r.Session, "seq", r.Seq, "token", r.Token, "term", term, "why", proved.String())
-		c.refuseReport(x)
+	machine, reportVerdict := c.receiveReport(report, term)
+	if reportVerdict == workers.Stale || reportVerdict == workers.Deposed {
+		c.log(slog.LevelDebug, "report refused", "machine", report.Machine, "session", report.Session, "seq", report.Seq, "token", report.Token, "term", term, "why", reportVerdict.String())
+		c.refuseReport(checkin)
 		return
 	}
-	c.renew(x, m, proved)
+	c.renew(checkin, machine, reportVerdict)
 }
 
-// refuseReport answers a report with 503: it renews nothing, and the worker tries the next controller.
-func (c *Core) refuseReport(x Checkin) { c.out = append(c.out, Answer{Ref: x.Ref, Status: 503}) }
+// refuseReport answers a report with 503. The lease is not renewed, and the worker tries the next
+// controller.
+func (c *Core) refuseReport(checkin Checkin) {
+	c.outputs = append(c.outputs, Answer{Ref: checkin.Ref, Status: 503})
+}
 
-// redirect answers a report for a class that this node doesn't own.
-func (c *Core) redirect(x Checkin) {
+// redirectReport answers a report for a class that this node doesn't own.
+func (c *Core) redirectReport(checkin Checkin) {
 	c.lastForeignArrival = c.now.Steady
-	if owner := c.ownership.Owner(x.Report.Type); owner != "" && owner != c.settings.Label {
-		c.out = append(c.out, Answer{Ref: x.Ref, Status: 421, Body: wire.Redirect{Owner: owner}})
+	if owner := c.ownership.Owner(checkin.Report.Type); owner != "" && owner != c.settings.Label {
+		c.outputs = append(c.outputs, Answer{Ref: checkin.Ref, Status: 421, Body: wire.Redirect{Owner: owner}})
 		return
 	}
-	c.refuseReport(x)
+	c.refuseReport(checkin)
 }
 
-// receive takes in a report for a class of ours, and tells what it proves.
-func (c *Core) receive(r *wire.Report, term uint64) (m *workers.Machine, proved workers.Verdict) {
-	var adopted, recalled, found bool
-	if m := c.pool.Machines[r.Machine]; m != nil {
-		adopted, recalled, found = m.Adopted, m.Recall != 0, m.Term == term
-	}
-	m, proved = c.pool.Receive(c.now.Steady, r, term, c.ownership.Claims()[r.Type].Since)
-	if proved == workers.Stale || proved == workers.Deposed {
-		return m, proved
-	}
-	if m.Adopted != adopted {
+// receiveReport processes a report for an owned class, and returns its machine and what the report
+// proves.
+func (c *Core) receiveReport(report *wire.Report, term uint64) (machine *workers.Machine, reportVerdict workers.Verdict) {
+	var wasAdopted, wasRecalled, alreadyReported bool
+	if machine := c.pool.Machines[report.Machine]; machine != nil {
+		wasAdopted, wasRecalled, alreadyReported = machine.Adopted, machine.Recall != 0, machine.Term == term
+	}
+	machine, reportVerdict = c.pool.Receive(c.now.Steady, report, term, c.ownership.Claims()[report.Type].Since)
+	if reportVerdict == workers.Stale || reportVerdict == workers.Deposed {
+		return machine, reportVerdict
+	}
+	if machine.Adopted != wasAdopted {
 		c.jobsChanged, c.fleetChanged = true, true
 	}
-	c.recordReport(m, found)
-	c.links.workerHeard(r.Type, r.Zone, c.pool.Report, c.now.Steady)
-	if m.Recall != 0 && !recalled && m.Spot {
+	c.recordReportTime(machine, alreadyReported)
+	c.links.workerHeard(report.Type, report.Zone, c.pool.Report, c.now.Steady)
+	if machine.Recall != 0 && !wasRecalled && machine.Spot {
 		c.fleet.SpotLost()
 	}
-	if rent := c.fleet.Track(r.Machine, fleet.Kind{Class: r.Type, Zone: r.Zone, Spot: r.Spot}, c.now.Steady); rent != nil {
-		rent.Up = true
+	if rental := c.fleet.Track(report.Machine, fleet.Kind{Class: report.Type, Zone: report.Zone, Spot: report.Spot}, c.now.Steady); rental != nil {
+		rental.Up = true
 	}
-	return m, proved
+	return machine, reportVerdict
 }
 
-// attempt names one attempt of a task.
-type attempt struct {
-	id string
-	n  uint64
+// attemptKey identifies one attempt of a task.
+type attemptKey struct {
+	task   string
+	number uint64
 }
 
-// reconcile makes the places match a current report, or the list that answers an
-// order (direct), and returns the commands that follow from it.
-func (c *Core) reconcile(m *workers.Machine, cmds []wire.Command, direct bool) []wire.Command {
-	may := c.ownership.MayLaunch()
-	// By attempt: an ended attempt that waits for its clear must not pass for a
-	// later one whose launch was lost, which would then never be launched again.
+// reconcile updates the assignments to match a current report, or the task list in the answer to an
+// order (direct), and returns commands with the resulting commands appended.
+func (c *Core) reconcile(machine *workers.Machine, commands []wire.Command, direct bool) []wire.Command {
+	mayLaunch := c.ownership.MayLaunch()
+	// The key includes the attempt: without it, an ended attempt that waits to be cleared would be
+	// mistaken for a later attempt whose launch was lost, and the task would never be launched
+	// again.
 	reported := c.reported
 	clear(reported)
 	clear(c.reportedAttempts)
-	clear(m.EndedTasks)
-	for _, t := range m.Tasks {
-		reported[attempt{t.Task, t.Attempt}] = true
-		c.reportedAttempts[t.Attempt] = true
-		jobID, task := jobs.SplitTask(t.Task)
-		j := c.jobs.Open[jobID]
-		if j != nil && (task < 0 || task >= j.Tasks) {
-			j = nil
+	clear(machine.EndedTasks)
+	for _, report := range machine.Tasks {
+		reported[attemptKey{report.Task, report.Attempt}] = true
+		c.reportedAttempts[report.Attempt] = true
+		jobID, task := jobs.SplitTaskID(report.Task)
+		job := c.jobs.Open[jobID]
+		if job != nil && (task < 0 || task >= job.Tasks) {
+			job = nil
 		}
-		if t.State == wire.TaskEnded {
-			cmds = c.taskEnded(m, j, t.Task, task, t, cmds, may)
+		if report.State == wire.TaskEnded {
+			commands = c.handleEndedTask(machine, job, report.Task, task, report, commands, mayLaunch)
 			continue
 		}
-		if stop, grace := c.taskPresent(m, j, task, t); stop {
-			cmds = append(cmds, wire.Command{Verb: wire.VerbStop, Task: t.Task, Attempt: t.Attempt, GraceS: grace})
+		if stop, graceS := c.handlePresentTask(machine, job, task, report); stop {
+			commands = append(commands, wire.Command{Verb: wire.VerbStop, Task: report.Task, Attempt: report.Attempt, GraceS: graceS})
 		}
 	}
-	c.unassignMissing(m, direct)
-	for n, order := range m.Orders {
-		if !c.reportedAttempts[n] && order.State != workers.OrderUnanswered && !m.DirectInFlight {
-			delete(m.Orders, n)
+	c.unassignMissing(machine, direct)
+	for number, order := range machine.Orders {
+		if !c.reportedAttempts[number] && order.State != workers.OrderUnanswered && !machine.DirectInFlight {
+			delete(machine.Orders, number)
 		}
 	}
-	return cmds
+	return commands
 }
 
-// unassignMissing takes away the assignments to a machine that its newest list, which
-// reconcile has just gone through, proves to be gone: the launch was lost on its way, or the
-// task went with a session.
-func (c *Core) unassignMissing(m *workers.Machine, direct bool) {
-	load := c.loadOf(m.ID)
-	var gone []string
-	for id, ref := range load.tasks {
-		a := ref.job.Assigned[ref.task]
+// unassignMissing removes the assignments to a machine that its newest task list, which reconcile
+// has just processed, proves to be gone: the launch was lost, or the task ended with the worker's
+// session.
+func (c *Core) unassignMissing(machine *workers.Machine, direct bool) {
+	load := c.loadOf(machine.ID)
+	var missing []string
+	for taskID, ref := range load.tasks {
+		assignment := ref.job.Assigned[ref.task]
 		switch {
-		case c.reported[attempt{id, a.Attempt}] || a.State == jobs.Planned:
-		case (a.Delivery == jobs.DirectPending || a.Delivery == jobs.DirectUnknown) && a.Session == m.Session:
-		case direct && a.Delivery == jobs.InReply && a.State == jobs.Sent:
-			// Guards against a list that crossed the answer with the launch: the
-			// task was taken for lost, and started a second time elsewhere.
+		case c.reported[attemptKey{taskID, assignment.Attempt}] || assignment.State == jobs.Planned:
+		case (assignment.Delivery == jobs.DirectPending || assignment.Delivery == jobs.DirectUnknown) && assignment.Session == machine.Session:
+		case direct && assignment.Delivery == jobs.InReply && assignment.State == jobs.Sent:
+			// The launch was sent in the answer to a report, and the worker may have sent this list
+			// before it received that answer, so the list proves nothing. Without this case, the
+			// task would be considered lost and started a second time on another machine.
 		default:
-			gone = append(gone, id)
+			missing = append(missing, taskID)
 		}
 	}
-	slices.Sort(gone)
-	for _, id := range gone {
-		ref := load.tasks[id]
+	slices.Sort(missing)
+	for _, taskID := range missing {
+		ref := load.tasks[taskID]
 		c.unassign(ref.job, ref.task)
 	}
 }
 
-// taskPresent takes in a task that a machine lists and that has not ended; j is nil if it is
-// of no job of ours. It tells whether the task has to stop, and with how many seconds to save.
-func (c *Core) taskPresent(m *workers.Machine, j *jobs.Job, task int, t wire.TaskReport) (stop bool, graceS float64) {
-	if j == nil || j.Done.Has(task) {
-		return true, 0 // over, or not ours to run
-	}
-	before, known := j.Assigned[task]
-	if known && before.Machine != m.ID && before.State != jobs.Planned {
-		c.log(slog.LevelError, "task in two places", "task", t.Task, "machine", m.ID, "other", before.Machine)
+// handlePresentTask processes a listed task that has not ended. job is nil if the task belongs to
+// no open job. The results say whether the task must be stopped, and with how many seconds to save
+// its state.
+func (c *Core) handlePresentTask(machine *workers.Machine, job *jobs.Job, task int, report wire.TaskReport) (stop bool, graceS float64) {
+	if job == nil || job.Done.Has(task) {
+		return true, 0 // the task is done, or belongs to no open job
+	}
+	previous, known := job.Assigned[task]
+	if known && previous.Machine != machine.ID && previous.State != jobs.Planned {
+		c.log(slog.LevelError, "task in two places", "task", report.Task, "machine", machine.ID, "other", previous.Machine)
 		return true, 0
 	}
-	since := before.RunningSince
-	if since == 0 && t.State == wire.TaskRunning {
-		since = c.now.Steady
+	runningSince := previous.RunningSince
+	if runningSince == 0 && report.State == wire.TaskRunning {
+		runningSince = c.now.Steady
 	}
-	c.assign(j, task, jobs.Assignment{Machine: m.ID, Attempt: t.Attempt, State: taskState(t.State), RunningSince: since})
-	if t.State == wire.TaskRunning {
-		if !known || before.State < jobs.Running {
-			c.log(slog.LevelDebug, "task runs", "job", j.ID, "task", task, "machine", m.ID, "class", j.Class, "afterS", c.age(j.SubmitUnix).Seconds())
+	c.assign(job, task, jobs.Assignment{Machine: machine.ID, Attempt: report.Attempt, State: taskState(report.State), RunningSince: runningSince})
+	if report.State == wire.TaskRunning {
+		if !known || previous.State < jobs.Running {
+			c.log(slog.LevelDebug, "task running", "job", job.ID, "task", task, "machine", machine.ID, "class", job.Class, "afterS", c.age(job.SubmitUnix).Seconds())
 		}
-		j.Started = true
-		if j.Image != "" {
-			m.Images[j.Image] = true
+		job.Started = true
+		if job.Image != "" {
+			machine.Images[job.Image] = true
 		}
 	}
-	return c.mustStop(m, j, task, t)
+	return c.mustStop(machine, job, task, report)
 }
 
-// mustStop tells whether a task that is on a machine has to stop, and with how many seconds
-// to save.
-func (c *Core) mustStop(m *workers.Machine, j *jobs.Job, task int, t wire.TaskReport) (stop bool, graceS float64) {
+// mustStop reports whether a task on a machine must be stopped, and with how many seconds to save
+// its state.
+func (c *Core) mustStop(machine *workers.Machine, job *jobs.Job, task int, report wire.TaskReport) (stop bool, graceS float64) {
 	switch {
-	case j.Cancelled:
+	case job.Cancelled:
 		return true, 0
-	case j.Gang:
-		c.gangReported(j, t)
-		if c.mustStopGang(m, j) {
-			c.stopGang(j, m)
+	case job.Gang:
+		c.recordGangTask(job, report)
+		if c.mustStopGang(machine, job) {
+			c.stopGang(job, machine)
 		}
-		return c.gangStop(j, t)
-	case m.Recall != 0 && c.cannotFinish(m, j, task, t.State):
+		return c.shouldStopGangTask(job, report)
+	case machine.Recall != 0 && c.cannotFinish(machine, job, task, report.State):
 		return true, 0
-	case t.State == wire.TaskRunning && (c.mustSave(m, j) || c.mustPreempt(m.ID, t.Task, t.Attempt)):
-		return true, j.SaveS + 1
+	case report.State == wire.TaskRunning && (c.mustSave(machine, job) || c.mustPreempt(machine.ID, report.Task, report.Attempt)):
+		return true, job.SaveS + 1
 	}
 	return false, 0
 }
 
-func taskState(s wire.TaskState) jobs.TaskState {
-	switch s {
+func taskState(state wire.TaskState) jobs.TaskState {
+	switch state {
 	case wire.TaskRunning:
 		return jobs.Running
 	case wire.TaskSaving:
@@ -195,46 +202,46 @@
 	return jobs.Fetching
 }
 
-// mustSave tells whether a task that can save has to do so now, before the
-// cloud takes its machine.
-func (c *Core) mustSave(m *workers.Machine, j *jobs.Job) bool {
-	if m.Recall == 0 || j.CheckS <= 0 {
+// mustSave reports whether a task that can save its state must do so now, before the cloud takes
+// its machine.
+func (c *Core) mustSave(machine *workers.Machine, job *jobs.Job) bool {
+	if machine.Recall == 0 || job.CheckS <= 0 {
 		return false
 	}
-	left := m.Recall - c.now.Steady
-	need := limits.Seconds(j.SaveS) + limits.DrainSpare + c.pool.Report*5/4
-	return left <= need
+	remaining := machine.Recall - c.now.Steady
+	required := limits.Seconds(job.SaveS) + limits.DrainSpare + c.pool.Report*5/4
+	return remaining <= required
 }
 
-// cannotFinish tells whether a task that saves nothing will not be done before the
-// cloud takes its machine: it had better start over elsewhere at once.
-func (c *Core) cannotFinish(m *workers.Machine, j *jobs.Job, task int, state wire.TaskState) bool {
-	if j.CheckS > 0 || state == wire.TaskSaving {
+// cannotFinish reports whether a task that never saves its state will not finish before the cloud
+// takes its machine. Such a task should start over on another machine at once.
+func (c *Core) cannotFinish(machine *workers.Machine, job *jobs.Job, task int, state wire.TaskState) bool {
+	if job.CheckS > 0 || state == wire.TaskSaving {
 		return false
 	}
-	left := j.EstimateS
-	if p := j.Assigned[task]; state == wire.TaskRunning {
-		left = max(left-(c.now.Steady-p.RunningSince).Seconds(), limits.LeastLeft*j.EstimateS)
+	remainingS := job.EstimateS
+	if assignment := job.Assigned[task]; state == wire.TaskRunning {
+		remainingS = max(remainingS-(c.now.Steady-assignment.RunningSince).Seconds(), limits.LeastLeft*job.EstimateS)
 	}
-	return left > (m.Recall - c.now.Steady).Seconds()
+	return remainingS > (machine.Recall - c.now.Steady).Seconds()
 }
 
-// launchCommands turns the plans for a machine into commands.
-func (c *Core) launchCommands(m *workers.Machine, cmds []wire.Command) []wire.Command {
-	load := c.loads[m.ID]
-	for _, id := range load.plannedTaskIDs() {
-		ref := load.tasks[id]
-		if len(cmds) >= limits.MaxCommands {
+// launchCommands appends launch commands for the tasks planned for a machine.
+func (c *Core) launchCommands(machine *workers.Machine, commands []wire.Command) []wire.Command {
+	load := c.loads[machine.ID]
+	for _, taskID := range load.plannedTaskIDs() {
+		ref := load.tasks[taskID]
+		if len(commands) >= limits.MaxCommands {
 			break
 		}
-		if ref.job.Cancelled || !m.Usable(c.now.Steady, c.pool.Report) {
+		if ref.job.Cancelled || !machine.Usable(c.now.Steady, c.pool.Report) {
 			c.unassign(ref.job, ref.task)
 			continue
 		}
 		assignment := ref.job.Assigned[ref.task]
 		assignment.State = jobs.Sent
 		c.assign(ref.job, ref.task, assignment)
-		cmds = append(cmds, wire.Command{Verb: wire.VerbLaunch, Task: id, Attempt: assignment.Attempt})
+		commands = append(commands, wire.Command{Verb: wire.VerbLaunch, Task: taskID, Attempt: assignment.Attempt})
 	}
-	return cmds
+	return commands
 }
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -12,232 +12,238 @@
 	"umberpaddle/internal/workers"
 )
 
-// attempt gives out attempt numbers that no other owner and no other life of
-// this process gives out: the term in the upper bits, a counter below.
-func (c *Core) attempt(class string) uint64 {
+// nextAttempt returns an attempt number that is unique across owners and restarts of
+// this process: the term is in the upper bits, a counter in the lower ones.
+func (c *Core) nextAttempt(class string) uint64 {
 	c.attemptCounter++
-	return c.active[class]<<limits.AttemptBits | c.attemptCounter&(1<<limits.AttemptBits-1)
+	return c.activeTerms[class]<<limits.AttemptBits | c.attemptCounter&(1<<limits.AttemptBits-1)
 }
 
-// availableMachines lists the machines that may get tasks, with their free room, and what
-// all machines together have. all also takes machines that may not get any yet,
-// for planning the fleet. unseen is the room of machines whose tasks are unknown.
-func (c *Core) availableMachines(all bool) (machines []*allocation.Machine, capacity map[string]allocation.Resources, unseen allocation.Resources) {
+// availableMachines returns the machines on which tasks may be placed, with their free
+// resources, and the total capacity of each class. For fleet planning (forFleetPlan) it also
+// returns machines that may not receive tasks yet. unresolved is the capacity of the machines
+// whose running tasks are unknown.
+func (c *Core) availableMachines(forFleetPlan bool) (machines []*allocation.Machine, capacity map[string]allocation.Resources, unresolved allocation.Resources) {
 	capacity = map[string]allocation.Resources{}
 	sorted := c.pool.Sorted()
 	machines = make([]*allocation.Machine, 0, len(sorted))
-	ordinary := make([]*allocation.Machine, 0, len(sorted))
+	onDemand := make([]*allocation.Machine, 0, len(sorted))
 	counts := map[*wire.MachineType]float64{}
-	for _, m := range sorted {
-		t := c.fleet.Types[m.Class]
-		if t == nil {
+	for _, machine := range sorted {
+		machineType := c.fleet.Types[machine.Class]
+		if machineType == nil {
 			continue
 		}
-		recorded := c.machineRecords[m.ID].Up
-		if recorded && !m.Resolved() {
-			unseen = unseen.Add(size(t), 1)
+		recorded := c.machineRecords[machine.ID].Up
+		if recorded && !machine.Resolved() {
+			unresolved = unresolved.Add(typeCapacity(machineType), 1)
 		}
-		if m.Adopted && !m.Lost {
-			counts[t]++
+		if machine.Adopted && !machine.Lost {
+			counts[machineType]++
 		}
-		if !m.Usable(c.now.Steady, c.pool.Report) || (!recorded && !all) {
+		if !machine.Usable(c.now.Steady, c.pool.Report) || (!recorded && !forFleetPlan) {
 			continue
 		}
-		view := c.machineView(m, t)
-		if all { // only a plan: the views of the real runs stay as they are
+		view := c.machineView(machine, machineType)
+		if forFleetPlan { // fleet planning must not modify the views that placement uses
 			copied := *view
 			view = &copied
 		}
-		if m.Spot {
+		if machine.Spot {
 			machines = append(machines, view)
 		} else {
-			ordinary = append(ordinary, view)
+			onDemand = append(onDemand, view)
 		}
 	}
-	for t, n := range counts {
-		capacity[t.Name] = allocation.Resources{}.Add(size(t), n)
+	for machineType, count := range counts {
+		capacity[machineType.Name] = allocation.Resources{}.Add(typeCapacity(machineType), count)
 	}
-	// Cheap machines first, so that the dear ones run empty and can go.
-	return append(machines, ordinary...), capacity, unseen
+	// Spot machines come first because they are cheaper: the expensive machines become idle and
+	// can be returned.
+	return append(machines, onDemand...), capacity, unresolved
 }
 
-// machineView brings the allocation's picture of a machine up to date.
-func (c *Core) machineView(m *workers.Machine, mt *wire.MachineType) *allocation.Machine {
-	h := c.loadOf(m.ID)
-	h.view = allocation.Machine{GangsOnly: c.reserved[m.ID], ID: m.ID, Class: m.Class, Zone: m.Zone, Spot: m.Spot, Size: size(mt), Free: size(mt).Add(h.used, -1), FetchGBps: mt.FetchGBps, Images: m.Images, Busy: len(h.tasks) > 0}
-	return &h.view
+// machineView refreshes and returns the allocation's view of a machine.
+func (c *Core) machineView(machine *workers.Machine, machineType *wire.MachineType) *allocation.Machine {
+	load := c.loadOf(machine.ID)
+	load.view = allocation.Machine{GangsOnly: c.gangOnlyMachines[machine.ID], ID: machine.ID, Class: machine.Class, Zone: machine.Zone, Spot: machine.Spot, Size: typeCapacity(machineType), Free: typeCapacity(machineType).Add(load.used, -1), FetchGBps: machineType.FetchGBps, Images: machine.Images, Busy: len(load.tasks) > 0}
+	return &load.view
 }
 
-// teamDemands builds the teams' part of the allocation's input: amounts booked, and
-// the units that may start now. all also takes units that are held back for a
-// moment, for planning the fleet.
-func (c *Core) teamDemands(all bool, unseen allocation.Resources) []*allocation.Team {
-	teams := c.bookedTeams(unseen)
+// teamDemands builds the teams' part of the allocation's input: their booked resources and
+// the units that may start now. For fleet planning (forFleetPlan) it also includes units whose
+// start is delayed.
+func (c *Core) teamDemands(forFleetPlan bool, unresolved allocation.Resources) []*allocation.Team {
+	teams := c.bookedTeams(unresolved)
 	byName := map[string]*allocation.Team{}
 	for _, team := range teams {
 		byName[team.Name] = team
 	}
-	var ended map[string][]string // by gang, for which it is looked up once
-	for _, j := range c.sortedJobs() {
-		team := byName[j.Team]
-		if team == nil || !c.mayStart(j, all) {
+	var endedTaskMachines map[string][]string // by gang; computed once, for the first gang
+	for _, job := range c.sortedJobs() {
+		team := byName[job.Team]
+		if team == nil || !c.mayStart(job, forFleetPlan) {
 			continue
 		}
-		if j.Gang && ended == nil {
-			ended = c.machinesWithEndedTasks()
+		if job.Gang && endedTaskMachines == nil {
+			endedTaskMachines = c.machinesWithEndedTasks()
 		}
-		if u := c.unitOf(j); c.boundUnit(u, j, ended) {
-			team.Units = append(team.Units, u)
+		if unit := c.unitOf(job); c.limitUnit(unit, job, endedTaskMachines) {
+			team.Units = append(team.Units, unit)
 		}
 	}
 	return teams
 }
 
-// bookedTeams lists the teams with their bounds, what they have booked, and what may run for
-// them where it can't be seen.
-func (c *Core) bookedTeams(unseen allocation.Resources) []*allocation.Team {
+// bookedTeams returns the teams with their limits, their booked resources, and an upper bound
+// on the resources of their tasks whose location is unknown.
+func (c *Core) bookedTeams(unresolved allocation.Resources) []*allocation.Team {
 	var teams []*allocation.Team
 	byName := map[string]*allocation.Team{}
-	for _, t := range c.settings.Cluster.Teams {
-		team := &allocation.Team{Name: t.Name, Booked: c.bookedBy(t.Name), MaxCPUs: t.CPUsMax, MaxGPUs: t.GPUsMax,
-			Guarantee: allocation.Resources{CPUs: t.CPUs, GPUs: t.GPUs}}
-		byName[t.Name] = team
+	for _, teamSettings := range c.settings.Cluster.Teams {
+		team := &allocation.Team{Name: teamSettings.Name, Booked: c.bookedByClass(teamSettings.Name), MaxCPUs: teamSettings.CPUsMax, MaxGPUs: teamSettings.GPUsMax,
+			Guarantee: allocation.Resources{CPUs: teamSettings.CPUs, GPUs: teamSettings.GPUs}}
+		byName[teamSettings.Name] = team
 		teams = append(teams, team)
 	}
-	shared := map[string]bool{} // teams with jobs that others own
-	for _, j := range c.jobs.Open {
-		team := byName[j.Team]
+	hasRemoteJobs := map[string]bool{} // teams with jobs that other controllers own
+	for _, job := range c.jobs.Open {
+		team := byName[job.Team]
 		if team == nil {
 			continue
 		}
-		shared[j.Team] = shared[j.Team] || !j.Active
-		if j.Launched() && (j.Frozen || !j.Active) {
-			team.Unknown = team.Unknown.Add(need(j), float64(j.Waiting()))
+		hasRemoteJobs[job.Team] = hasRemoteJobs[job.Team] || !job.Active
+		if job.MayHaveLaunched() && (job.Frozen || !job.Active) {
+			team.Unknown = team.Unknown.Add(taskResources(job), float64(job.Waiting()))
 		}
 	}
 	for _, team := range teams {
-		// What can't be seen fits on the machines that can't be seen, as long
-		// as all of the team's jobs are ours.
-		if !shared[team.Name] {
-			team.Unknown.CPUs = min(team.Unknown.CPUs, unseen.CPUs)
-			team.Unknown.GPUs = min(team.Unknown.GPUs, unseen.GPUs)
+		// If this controller owns all of the team's jobs, their tasks of unknown location can
+		// use no more than the capacity of the unresolved machines.
+		if !hasRemoteJobs[team.Name] {
+			team.Unknown.CPUs = min(team.Unknown.CPUs, unresolved.CPUs)
+			team.Unknown.GPUs = min(team.Unknown.GPUs, unresolved.GPUs)
 		}
 	}
 	return teams
 }
 
-// mayStart tells whether a job has tasks that may start now, or, for planning the fleet (all),
-// in a moment.
-func (c *Core) mayStart(j *jobs.Job, all bool) bool {
-	if j.Waiting() <= 0 || j.Cancelled || j.Frozen || c.jobs.Open[j.ID] != j {
+// mayStart reports whether a job has waiting tasks that may start now. For fleet planning
+// (forFleetPlan), tasks whose start is delayed count as well.
+func (c *Core) mayStart(job *jobs.Job, forFleetPlan bool) bool {
+	if job.Waiting() <= 0 || job.Cancelled || job.Frozen || c.jobs.Open[job.ID] != job {
 		return false
 	}
-	return all || j.Prepared && c.now.Steady >= j.NotBefore
+	return forFleetPlan || job.Prepared && c.now.Steady >= job.NotBefore
 }
 
-// unitOf describes a job's waiting tasks to the allocation.
-func (c *Core) unitOf(j *jobs.Job) *allocation.Unit {
-	u := &allocation.Unit{Job: j.ID, Need: need(j), Count: j.Waiting(), Image: j.Image, Classes: j.TypeSet, Shape: j.Shape, Zone: j.Zone, Spot: j.Spot,
-		OneZone: j.OneZone, Spread: j.Spread, Tasks: j.Tasks, StartWithin: c.startWithin(j), ImageGB: j.ImageGB,
-		Safe: c.avoidsSpot(j), Urgent: j.Urgency >= wire.UrgencyUrgent, Low: j.Urgency == wire.UrgencyLow}
-	if !j.OneZone && !j.Spread {
-		return u
+// unitOf returns the allocation unit that describes a job's waiting tasks.
+func (c *Core) unitOf(job *jobs.Job) *allocation.Unit {
+	unit := &allocation.Unit{Job: job.ID, Need: taskResources(job), Count: job.Waiting(), Image: job.Image, Classes: job.TypeSet, Shape: job.PlacementKey, Zone: job.Zone, Spot: job.Spot,
+		OneZone: job.OneZone, Spread: job.Spread, Tasks: job.Tasks, StartWithin: c.startWithin(job), ImageGB: job.ImageGB,
+		Safe: c.avoidsSpot(job), Urgent: job.Urgency >= wire.UrgencyUrgent, Low: job.Urgency == wire.UrgencyLow}
+	if !job.OneZone && !job.Spread {
+		return unit
 	}
-	u.ByZone = map[string]int{}
-	for _, a := range j.Assigned {
-		if m := c.pool.Machines[a.Machine]; m != nil {
-			u.ByZone[m.Zone]++
+	unit.ByZone = map[string]int{}
+	for _, assignment := range job.Assigned {
+		if machine := c.pool.Machines[assignment.Machine]; machine != nil {
+			unit.ByZone[machine.Zone]++
 		}
 	}
-	return u
+	return unit
 }
 
-// boundUnit bounds how many of a unit's tasks may start at once, and where not. It tells
-// whether any may. ended lists, by gang, the machines with ended tasks of it.
-func (c *Core) boundUnit(u *allocation.Unit, j *jobs.Job, ended map[string][]string) bool {
+// limitUnit sets how many of a unit's tasks may start at once and which machines they avoid.
+// It reports whether any may start. endedTaskMachines lists, by gang, the machines that hold
+// ended tasks of the gang.
+func (c *Core) limitUnit(unit *allocation.Unit, job *jobs.Job, endedTaskMachines map[string][]string) bool {
 	switch {
-	case j.Gang:
-		return c.gangUnit(u, j, ended)
-	case j.Faulty():
-		u.Count = min(u.Count, limits.BadJobSlots-len(j.Assigned))
-	case c.overdue(j):
-		// Once it has begun it waits for its turn like the others.
-		u.Overdue = true
-		u.Avoid = j.FailedOn
-		u.Count = min(u.Count, limits.BeginTasks-len(j.Assigned))
+	case job.Gang:
+		return c.limitGangUnit(unit, job, endedTaskMachines)
+	case job.Faulty():
+		unit.Count = min(unit.Count, limits.BadJobSlots-len(job.Assigned))
+	case c.startOverdue(job):
+		// Priority over other jobs lasts only until the job's first task has started.
+		unit.Overdue = true
+		unit.Avoid = job.FailedOn
+		unit.Count = min(unit.Count, limits.BeginTasks-len(job.Assigned))
 	default:
-		u.Avoid = j.FailedOn
+		unit.Avoid = job.FailedOn
 	}
-	return u.Count > 0
+	return unit.Count > 0
 }
 
-// avoidsSpot tells whether a job's tasks had better not be lost with a spot machine:
-// they save nothing, and would be late, or as long ones be started over and over.
-func (c *Core) avoidsSpot(j *jobs.Job) bool {
-	if j.CheckS > 0 {
+// avoidsSpot reports whether a job's tasks should run on on-demand machines. This holds for
+// tasks without checkpoints that would miss their target after the loss of a spot machine, or
+// that run so long that they would be restarted again and again.
+func (c *Core) avoidsSpot(job *jobs.Job) bool {
+	if job.CheckS > 0 {
 		return false
 	}
-	risk := c.fleet.SpotRisk(j.EstimateS)
-	if (j.DeadlineS > 0 && risk > limits.SafeRisk) || risk > limits.LongRisk {
+	risk := c.fleet.SpotRisk(job.EstimateS)
+	if (job.DeadlineS > 0 && risk > limits.SafeRisk) || risk > limits.LongRisk {
 		return true
 	}
-	// Guards against batches of a hundred long tasks of which all but one are in
-	// time: that one was lost with its machine and started over.
-	left, hopeful := c.timeLeft(j)
-	long := limits.EstimateError * j.EstimateS
-	redo := left >= 2*long+limits.RedoSlack.Seconds()
-	return hopeful && !redo && 1-math.Pow(1-risk, float64(j.Tasks-j.DoneCount)) > limits.LateRisk
+	// Without this check, a batch of a hundred long tasks misses its target when a single task
+	// is lost with its spot machine and has to restart.
+	secondsLeft, canMeetTarget := c.timeLeft(job)
+	longRunS := limits.EstimateError * job.EstimateS
+	canRedo := secondsLeft >= 2*longRunS+limits.RedoSlack.Seconds()
+	return canMeetTarget && !canRedo && 1-math.Pow(1-risk, float64(job.Tasks-job.DoneCount)) > limits.LateRisk
 }
 
-// largestUnits finds the largest unit that unfinished jobs may ask of each class.
+// largestUnits returns, by class, the largest unit that unfinished jobs may request.
 func (c *Core) largestUnits() map[string]allocation.Resources {
-	out := map[string]allocation.Resources{}
-	for _, j := range c.jobs.Open {
-		n := need(j)
-		for _, class := range j.Types {
-			if b := out[class]; n.CPUs > b.CPUs || (n.CPUs == b.CPUs && (n.GPUs > b.GPUs || n.GPUs == b.GPUs && n.Memory > b.Memory)) {
-				out[class] = n
+	largest := map[string]allocation.Resources{}
+	for _, job := range c.jobs.Open {
+		request := taskResources(job)
+		for _, class := range job.Types {
+			if current := largest[class]; request.CPUs > current.CPUs || (request.CPUs == current.CPUs && (request.GPUs > current.GPUs || request.GPUs == current.GPUs && request.Memory > current.Memory)) {
+				largest[class] = request
 			}
 		}
 	}
-	return out
+	return largest
 }
 
-// schedulingRound is the teams' part of a run, kept for the room that single reports free.
+// schedulingRound is the teams' part of the last full allocation run. It is kept to fill the
+// resources that a single report frees before the next run.
 type schedulingRound struct {
 	teams             []*allocation.Team
 	capacity, largest map[string]allocation.Resources
-	held              map[string]bool // machines kept free for an overdue unit
+	held              map[string]bool // machines reserved for overdue units or for jobs that preempt tasks
 }
 
-// allocate plans tasks onto machines. The plans go out with the next answer to
-// each machine's report. Looking at every machine and job costs a millisecond in
-// a large fleet, so it is done at most every RoundInterval; what a single report
-// frees in between is filled at once by allocateOn.
+// allocate assigns waiting tasks to machines. The assignments are sent directly or with the
+// response to each machine's next report. A run over all machines and jobs takes a millisecond
+// in a large fleet, so there is at most one every RoundInterval; resources that a single report
+// frees in between are filled immediately by allocateOnMachine.
 func (c *Core) allocate() {
-	if !c.dirty || !c.ownership.MayLaunch() || c.now.Steady < c.nextRound {
+	if !c.schedulingDue || !c.ownership.MayLaunch() || c.now.Steady < c.nextRound {
 		return
 	}
-	c.dirty = false
+	c.schedulingDue = false
 	c.nextRound = c.now.Steady + limits.RoundInterval
 	c.prepareJobs()
-	machines, capacity, unseen := c.availableMachines(false)
+	machines, capacity, unresolved := c.availableMachines(false)
 	c.reserveForGangs(machines)
-	o := &schedulingRound{teams: c.teamDemands(false, unseen), capacity: capacity, largest: c.largestUnits()}
-	c.round = o
-	o.held = allocation.HoldRoom(o.teams, machines, 1+int(limits.HoldShare*float64(len(machines))))
-	pending := c.holdPreempted(machines, o.held)
-	c.runAllocation(o, machines)
-	c.preemptBorrowed(o, machines, pending)
+	newRound := &schedulingRound{teams: c.teamDemands(false, unresolved), capacity: capacity, largest: c.largestUnits()}
+	c.lastRound = newRound
+	newRound.held = allocation.HoldRoom(newRound.teams, machines, 1+int(limits.HoldShare*float64(len(machines))))
+	pending := c.holdPreempted(machines, newRound.held)
+	c.runAllocation(newRound, machines)
+	c.preemptBorrowed(newRound, machines, pending)
 	c.sendDirectLaunches()
 }
 
-// prepareJobs asks for the records that jobs need before their first launch, in the order of
-// their names: which records share a key must not depend on the order of a map.
+// prepareJobs requests the records that jobs need before their first launch. Jobs are processed
+// in the order of their IDs, because the records that share a key must not depend on map
+// iteration order.
 func (c *Core) prepareJobs() {
 	var waiting []string
-	for id, j := range c.jobs.Open {
-		if j.Active && !j.Prepared && !j.Frozen && !j.Cancelled {
+	for id, job := range c.jobs.Open {
+		if job.Active && !job.Prepared && !job.Frozen && !job.Cancelled {
 			waiting = append(waiting, id)
 		}
 	}
@@ -247,69 +253,71 @@
 	}
 }
 
-// allocateOn fills the room that a machine has, from what the last look at all
-// machines left waiting.
-func (c *Core) allocateOn(m *workers.Machine) {
-	mt := c.fleet.Types[m.Class]
-	if c.round == nil || c.round.held[m.ID] || mt == nil || !c.machineRecords[m.ID].Up || !m.Usable(c.now.Steady, c.pool.Report) {
+// allocateOnMachine fills the free resources of one machine with units that the last full
+// allocation run left waiting.
+func (c *Core) allocateOnMachine(machine *workers.Machine) {
+	machineType := c.fleet.Types[machine.Class]
+	if c.lastRound == nil || c.lastRound.held[machine.ID] || machineType == nil || !c.machineRecords[machine.ID].Up || !machine.Usable(c.now.Steady, c.pool.Report) {
 		return
 	}
 	waiting := false
-	for _, t := range c.round.teams {
-		waiting = waiting || len(t.Units) > 0
+	for _, team := range c.lastRound.teams {
+		waiting = waiting || len(team.Units) > 0
 	}
 	if !waiting {
 		return
 	}
-	for _, t := range c.round.teams {
-		t.Booked = c.bookedBy(t.Name)
+	for _, team := range c.lastRound.teams {
+		team.Booked = c.bookedByClass(team.Name)
 	}
-	c.runAllocation(c.round, []*allocation.Machine{c.machineView(m, mt)})
+	c.runAllocation(c.lastRound, []*allocation.Machine{c.machineView(machine, machineType)})
 }
 
-// runAllocation lets the allocation fill machines and takes its placements over.
+// runAllocation runs the allocation on the given machines and applies its placements.
 func (c *Core) runAllocation(round *schedulingRound, machines []*allocation.Machine) {
 	gangs := map[string][]*allocation.Machine{}
-	for _, p := range allocation.Run(round.teams, machines, round.capacity, round.largest) {
-		j := c.jobs.Open[p.Unit.Job]
-		// The round may be older than a change of the job.
-		if j == nil || j.Cancelled || j.Frozen || !j.Active || !j.Prepared {
+	for _, placement := range allocation.Run(round.teams, machines, round.capacity, round.largest) {
+		job := c.jobs.Open[placement.Unit.Job]
+		// The job may have changed since the round was built.
+		if job == nil || job.Cancelled || job.Frozen || !job.Active || !job.Prepared {
 			continue
 		}
-		if !j.Gang {
-			c.placeTask(j, p)
+		if !job.Gang {
+			c.placeTask(job, placement)
 			continue
 		}
-		gangs[j.ID] = append(gangs[j.ID], p.Machine)
-		if len(gangs[j.ID]) == j.Waiting() {
-			c.placeGang(j, p.Team, gangs[j.ID])
+		gangs[job.ID] = append(gangs[job.ID], placement.Machine)
+		if len(gangs[job.ID]) == job.Waiting() {
+			c.placeGang(job, placement.Team, gangs[job.ID])
 		}
 	}
 	for _, team := range round.teams {
-		team.Units = slices.DeleteFunc(team.Units, func(u *allocation.Unit) bool { return u.Count <= 0 })
+		team.Units = slices.DeleteFunc(team.Units, func(unit *allocation.Unit) bool { return unit.Count <= 0 })
 	}
 }
 
-// placeTask plans the next waiting task of an array where the allocation put it.
-func (c *Core) placeTask(j *jobs.Job, p allocation.Placement) {
-	task := j.NextTask()
-	m := c.pool.Machines[p.Machine.ID]
-	if task < 0 || m == nil || (len(m.EndedTasks) > 0 && m.EndedTasks[jobs.TaskID(j.ID, task)]) {
+// placeTask assigns the next waiting task of an array job to the machine that the allocation
+// chose.
+func (c *Core) placeTask(job *jobs.Job, placement allocation.Placement) {
+	task := job.NextTask()
+	machine := c.pool.Machines[placement.Machine.ID]
+	if task < 0 || machine == nil || (len(machine.EndedTasks) > 0 && machine.EndedTasks[jobs.TaskID(job.ID, task)]) {
 		return
 	}
-	number := c.attempt(p.Machine.Class)
-	c.assign(j, task, jobs.Assignment{Machine: m.ID, Attempt: number, State: jobs.Planned})
-	c.log(slog.LevelDebug, "task placed", "job", j.ID, "task", task, "machine", m.ID, "attempt", number, "team", p.Team, "image", j.Image == "" || m.Images[j.Image],
-		"term", c.active[m.Class], "revision", c.store.Mirror.Revision, "cancellationsKnownS", c.cancellationsAge().Seconds())
-	noteFetch(m, j)
-	if len(c.plannedMachines) == 0 || c.plannedMachines[len(c.plannedMachines)-1] != m.ID {
-		c.plannedMachines = append(c.plannedMachines, m.ID)
+	attempt := c.nextAttempt(placement.Machine.Class)
+	c.assign(job, task, jobs.Assignment{Machine: machine.ID, Attempt: attempt, State: jobs.Planned})
+	c.log(slog.LevelDebug, "task placed", "job", job.ID, "task", task, "machine", machine.ID, "attempt", attempt, "team", placement.Team, "image", job.Image == "" || machine.Images[job.Image],
+		"term", c.activeTerms[machine.Class], "revision", c.store.Mirror.Revision, "cancellationsKnownS", c.cancellationsAge().Seconds())
+	markImageFetching(machine, job)
+	if len(c.plannedMachines) == 0 || c.plannedMachines[len(c.plannedMachines)-1] != machine.ID {
+		c.plannedMachines = append(c.plannedMachines, machine.ID)
 	}
 }
 
-// noteFetch records that a machine is about to fetch a job's image, unless it has it.
-func noteFetch(m *workers.Machine, j *jobs.Job) {
-	if _, known := m.Images[j.Image]; !known && j.Image != "" {
-		m.Images[j.Image] = false
+// markImageFetching records that a machine will fetch a job's image, unless the machine has
+// the image or is already fetching it.
+func markImageFetching(machine *workers.Machine, job *jobs.Job) {
+	if _, known := machine.Images[job.Image]; !known && job.Image != "" {
+		machine.Images[job.Image] = false
 	}
 }
--- a/internal/controller/silence.go
+++ b/internal/controller/silence.go
@@ -7,126 +7,134 @@
 	"umberpaddle/internal/workers"
 )
 
-// recordReport takes note of a report that counted, for what silence means.
-func (c *Core) recordReport(m *workers.Machine, found bool) {
-	t := c.now.Steady
-	if t-c.lastReport > c.maxReportGap() {
-		c.reportsResumedAt = t
+// recordReportTime records the time of an accepted report, for the detection of silent machines.
+func (c *Core) recordReportTime(machine *workers.Machine, alreadyReported bool) {
+	now := c.now.Steady
+	if now-c.lastReport > c.maxReportGap() {
+		c.reportsResumedAt = now
 	}
-	c.lastReport = t
-	if !found && c.machineRecords[m.ID].Up {
-		c.lastNewMachine = t
+	c.lastReport = now
+	if !alreadyReported && c.machineRecords[machine.ID].Up {
+		c.lastMachineJoined = now
 	}
 }
 
-// maxReportGap is for how long there may be no report at all from many machines.
+// maxReportGap returns the longest time without any report from a large number of machines that is
+// still normal.
 func (c *Core) maxReportGap() time.Duration {
 	return max(limits.UnreachableFloor, time.Duration(limits.UnreachableReports*float64(c.pool.Report)))
 }
 
-// silentFor is for how long a machine has been silent while others were heard.
-// Guards against an owner that was cut off from all workers: as soon as one was
-// heard again, it returned all the others, with their tasks.
-func (c *Core) silentFor(m *workers.Machine) time.Duration {
-	return c.now.Steady - max(m.LastReport, c.reportsResumedAt)
+// silenceDuration returns for how long a machine has been silent while other machines reported.
+// Time in which no machine reported does not count: otherwise an owner that was cut off from all
+// workers would, on receiving the first report again, return all other machines with their tasks.
+func (c *Core) silenceDuration(machine *workers.Machine) time.Duration {
+	return c.now.Steady - max(machine.LastReport, c.reportsResumedAt)
 }
 
-// reachableSuccessor names a peer to which workers of our classes come in vain, if there is one.
+// reachableSuccessor returns the peer that most recently received reports for classes that it
+// doesn't own, or "" if there was none lately. Workers of this node's classes can probably reach
+// that peer.
 func (c *Core) reachableSuccessor() string {
 	best := ""
-	for _, p := range c.settings.Others {
-		if at, ok := c.foreignArrivals[p.Label]; ok && c.now.Steady-at < limits.ForeignArrivalFor && (best == "" || at > c.foreignArrivals[best]) {
-			best = p.Label
+	for _, peer := range c.settings.Others {
+		if at, ok := c.foreignArrivals[peer.Label]; ok && c.now.Steady-at < limits.ForeignArrivalFor && (best == "" || at > c.foreignArrivals[best]) {
+			best = peer.Label
 		}
 	}
 	return best
 }
 
-// workersUnreachable tells whether no worker reaches this owner any more, though many did:
-// it is cut off from them, and keeps its classes all the same as long as it
-// reaches the state service. Guards against a day on which all machines lost their
-// tasks that way. Whoever was never heard as owner waits longer, for workers whose
-// reports hang on the node before, unless workers come to another node in vain.
+// workersUnreachable reports whether no worker reaches this owner any more, although enough of its
+// machines are recorded as up. An owner that is cut off from its workers keeps its classes as long
+// as it reaches the state service, so without this check all machines lose their tasks. An owner
+// that has received no report since it claimed a class waits longer, because the workers' reports
+// may still be pending at the previous owner. It doesn't wait longer if a peer already receives
+// reports for classes of other nodes.
 func (c *Core) workersUnreachable() bool {
-	if len(c.active) == 0 || !c.ownership.LeaseValid() {
+	if len(c.activeTerms) == 0 || !c.ownership.LeaseValid() {
 		return false
 	}
-	// What is turned away, in an outage without promises, has arrived all the same.
-	last, wait := c.lastArrival, c.maxReportGap()
-	for class := range c.active {
-		if cl := c.ownership.Claims()[class]; cl != nil && cl.Since > last {
-			last = cl.Since
+	// lastArrival includes the reports refused during a state service outage without peer promises:
+	// they show that workers reach this node.
+	lastHeard, wait := c.lastArrival, c.maxReportGap()
+	for class := range c.activeTerms {
+		if claim := c.ownership.Claims()[class]; claim != nil && claim.Since > lastHeard {
+			lastHeard = claim.Since
 			if c.reachableSuccessor() == "" {
 				wait = c.maxReportGap() + limits.SilentRetry
 			}
 		}
 	}
-	if c.now.Steady-last <= wait {
+	if c.now.Steady-lastHeard <= wait {
 		return false
 	}
-	up := 0
-	for id, m := range c.pool.Machines {
-		if c.machineRecords[id].Up && !m.Deleting {
-			up++
+	upMachines := 0
+	for machineID, machine := range c.pool.Machines {
+		if c.machineRecords[machineID].Up && !machine.Deleting {
+			upMachines++
 		}
 	}
-	return up >= limits.MassSilenceLeast
+	return upMachines >= limits.MassSilenceLeast
 }
 
-// massSilence tells whether many ordinary machines are silent at once. Nobody takes
-// those back, so they hang or are cut off and may go on, some within their
-// lease; deleted, they may not be had again. Guards against an incident in which
-// half the fleet was returned 11 s into such a silence.
+// massSilence reports whether many on-demand machines are silent at once. The cloud does not recall
+// on-demand machines, so they are hung or partitioned and may recover, some within their lease, and
+// a deleted machine may be impossible to replace. Without this check, half the fleet was returned
+// 11 s into such a silence.
 func (c *Core) massSilence() bool {
-	all, silent := 0, 0
-	for _, m := range c.pool.Machines {
-		if m.Spot || m.Deleting {
+	total, silent := 0, 0
+	for _, machine := range c.pool.Machines {
+		if machine.Spot || machine.Deleting {
 			continue
 		}
-		all++
-		if c.silentFor(m) > c.pool.Report*5/4+limits.TakeoverSlack {
+		total++
+		if c.silenceDuration(machine) > c.pool.Report*5/4+limits.TakeoverSlack {
 			silent++
 		}
 	}
-	return silent >= limits.MassSilenceLeast && float64(silent) > limits.MassSilenceShare*float64(all)
+	return silent >= limits.MassSilenceLeast && float64(silent) > limits.MassSilenceShare*float64(total)
 }
 
-// mostMachinesFound tells whether most machines that an earlier owner had found this one.
-func (c *Core) mostMachinesFound() bool {
-	all, found := 0, 0
-	for id, m := range c.pool.Machines {
-		if c.machineRecords[id].Up {
-			all++
-			if m.Term != 0 {
-				found++
+// mostMachinesReported reports whether most machines that an earlier owner recorded as up have
+// reported to this owner.
+func (c *Core) mostMachinesReported() bool {
+	total, reported := 0, 0
+	for machineID, machine := range c.pool.Machines {
+		if c.machineRecords[machineID].Up {
+			total++
+			if machine.Term != 0 {
+				reported++
 			}
 		}
 	}
-	return float64(found) >= limits.TakeoverHeard*float64(all)
+	return float64(reported) >= limits.TakeoverHeard*float64(total)
 }
 
-// isSilent tells whether a machine is given up for its silence: a deletion proves
-// it empty sooner than its lease would. Not when all are silent, for then the
-// fault is ours. After a takeover the jobs of an earlier owner wait for every
-// machine, so those that did not find the new owner with most others go sooner.
-func (c *Core) isSilent(m *workers.Machine, heard time.Duration, most bool) bool {
-	t := c.now.Steady
-	if t-heard >= 2*c.pool.Report {
+// presumedDead reports whether a silent machine is to be deleted: the deletion proves it empty
+// sooner than its lease would. No machine is presumed dead while all are silent, since the fault
+// then lies with this node. After a takeover, the jobs of the earlier owner wait for every machine,
+// so a machine that has not reported to the new owner when most others have is given up sooner.
+func (c *Core) presumedDead(machine *workers.Machine, lastHeard time.Duration, mostReported bool) bool {
+	now := c.now.Steady
+	if now-lastHeard >= 2*c.pool.Report {
 		return false
 	}
-	// Answered once and silent since counts as well: guards against a takeover
-	// that waited three reports for machines that were lost in its midst.
-	if c.awaitedByTakeover(m) && c.silentFor(m) > c.pool.Report*5/4+limits.TakeoverSlack {
-		// As long as others still arrive it may only be slow to find us.
-		if t-c.lastNewMachine < limits.TakeoverPause {
+	// The condition also holds for a machine whose report this owner answered once and that has
+	// been silent since. Otherwise a takeover would wait three report intervals for machines lost
+	// in the middle of it.
+	if c.awaitedByTakeover(machine) && c.silenceDuration(machine) > c.pool.Report*5/4+limits.TakeoverSlack {
+		// While other machines still report for the first time, this one may just be slow to find
+		// the new owner.
+		if now-c.lastMachineJoined < limits.TakeoverPause {
 			return false
 		}
-		return most && (m.ProbeFailed || m.Address == "" || c.silentFor(m) > c.pool.Report*5/4+limits.SilentRetry)
+		return mostReported && (machine.ProbeFailed || machine.Address == "" || c.silenceDuration(machine) > c.pool.Report*5/4+limits.SilentRetry)
 	}
-	return c.silentFor(m) > c.pool.SilentFor()
+	return c.silenceDuration(machine) > c.pool.SilentFor()
 }
 
-// awaitedByTakeover tells whether a takeover still waits for a machine.
-func (c *Core) awaitedByTakeover(m *workers.Machine) bool {
-	return !m.Resolved() && c.machineRecords[m.ID].Up
+// awaitedByTakeover reports whether a takeover still waits for a machine.
+func (c *Core) awaitedByTakeover(machine *workers.Machine) bool {
+	return !machine.Resolved() && c.machineRecords[machine.ID].Up
 }
--- a/internal/controller/simulation_rules_test.go
+++ b/internal/controller/simulation_rules_test.go
@@ -264,7 +264,7 @@
 			t.Fatalf("only %d machines are busy", len(before))
 		}
 		for _, n := range w.nodes {
-			if n.core != nil && len(n.core.active) > 0 {
+			if n.core != nil && len(n.core.activeTerms) > 0 {
 				n.crash(3 * time.Second)
 			}
 		}
@@ -384,7 +384,7 @@
 		w := busyWorld(seed)
 		owner := -1
 		for i, n := range w.nodes {
-			if len(n.core.active) > 0 {
+			if len(n.core.activeTerms) > 0 {
 				owner = i
 			}
 		}
@@ -396,7 +396,7 @@
 		}
 		replaced := false
 		for i, n := range w.nodes {
-			replaced = replaced || (i != owner && len(n.core.active) > 0)
+			replaced = replaced || (i != owner && len(n.core.activeTerms) > 0)
 		}
 		if !replaced || w.sessions() > 0 {
 			t.Errorf("seed %d: replaced %v, %d machines lost their tasks", seed, replaced, w.sessions())
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -406,7 +406,7 @@
 	if n.core.renewals.Violations > 0 {
 		n.w.reportBroken("renewal", "%s would have left a cancelled task running", n.label)
 	}
-	for _, term := range n.core.active {
+	for _, term := range n.core.activeTerms {
 		if term > n.w.newest {
 			n.w.newest = term
 			n.w.deliverKept()
--- a/internal/controller/task_ends.go
+++ b/internal/controller/task_ends.go
@@ -9,105 +9,105 @@
 	"umberpaddle/internal/workers"
 )
 
-// taskEnded takes in the end of an attempt. The outcome must be durable before the
-// worker may forget it; only a completion has an outcome that matters.
-func (c *Core) taskEnded(m *workers.Machine, j *jobs.Job, id string, task int, t wire.TaskReport, cmds []wire.Command, may bool) []wire.Command {
-	may = may && c.mayClear(m, j, t)
-	if !may {
-		m.EndedTasks[id] = true
+// handleEndedTask processes the end of an attempt. The worker may forget the attempt only after its
+// outcome is durable; only completions have an outcome to store.
+func (c *Core) handleEndedTask(machine *workers.Machine, job *jobs.Job, taskID string, task int, report wire.TaskReport, commands []wire.Command, mayClear bool) []wire.Command {
+	mayClear = mayClear && c.mayClear(machine, job, report)
+	if !mayClear {
+		machine.EndedTasks[taskID] = true
 	}
 	forget := false
 	switch {
-	case j == nil:
+	case job == nil:
 		forget = c.store.Mirror.Loaded
-	case t.Cause == wire.CauseDone:
-		c.taskDone(m, j, task, t)
-		forget = j.IsDurable(task) || j.Cancelled
+	case report.Cause == wire.CauseDone:
+		c.handleCompletion(machine, job, task, report)
+		forget = job.IsDurable(task) || job.Cancelled
 	default:
-		c.taskNotDone(m, j, task, t)
+		c.handleUnfinishedEnd(machine, job, task, report)
 		forget = true
 	}
-	if forget && may {
-		cmds = append(cmds, wire.Command{Verb: wire.VerbClear, Task: id, Attempt: t.Attempt})
+	if forget && mayClear {
+		commands = append(commands, wire.Command{Verb: wire.VerbClear, Task: taskID, Attempt: report.Attempt})
 	}
-	return cmds
+	return commands
 }
 
-// assignedHere tells whether a reported attempt is the one that a task has.
-func assignedHere(m *workers.Machine, j *jobs.Job, task int, t wire.TaskReport) bool {
-	a, ok := j.Assigned[task]
-	return ok && a.Machine == m.ID && a.Attempt == t.Attempt
+// assignedHere reports whether a reported attempt is the one that the task is assigned to.
+func assignedHere(machine *workers.Machine, job *jobs.Job, task int, report wire.TaskReport) bool {
+	assignment, ok := job.Assigned[task]
+	return ok && assignment.Machine == machine.ID && assignment.Attempt == report.Attempt
 }
 
-// taskDone takes in a completed task, whatever attempt of it that was.
-func (c *Core) taskDone(m *workers.Machine, j *jobs.Job, task int, t wire.TaskReport) {
-	if j.Gang {
-		c.gangEnded(j, t)
+// handleCompletion processes a completed task, whichever attempt completed it.
+func (c *Core) handleCompletion(machine *workers.Machine, job *jobs.Job, task int, report wire.TaskReport) {
+	if job.Gang {
+		c.recordGangTaskEnd(job, report)
 	}
-	if a, ok := j.Assigned[task]; ok && (assignedHere(m, j, task, t) || a.State == jobs.Planned) {
-		c.unassign(j, task)
+	if assignment, ok := job.Assigned[task]; ok && (assignedHere(machine, job, task, report) || assignment.State == jobs.Planned) {
+		c.unassign(job, task)
 	}
-	if !j.Done.Has(task) {
-		m.Failures = map[string]int{}
-		j.Succeeded = true
-		j.Backoff = 0
-		j.MarkDone(task)
+	if !job.Done.Has(task) {
+		machine.Failures = map[string]int{}
+		job.Succeeded = true
+		job.Backoff = 0
+		job.MarkDone(task)
 	}
 }
 
-// taskNotDone takes in an attempt that ended otherwise.
-func (c *Core) taskNotDone(m *workers.Machine, j *jobs.Job, task int, t wire.TaskReport) {
-	if !assignedHere(m, j, task, t) {
+// handleUnfinishedEnd processes an attempt that ended without completing its task.
+func (c *Core) handleUnfinishedEnd(machine *workers.Machine, job *jobs.Job, task int, report wire.TaskReport) {
+	if !assignedHere(machine, job, task, report) {
 		return
 	}
-	if j.Gang {
-		c.gangEnded(j, t)
+	if job.Gang {
+		c.recordGangTaskEnd(job, report)
 	}
-	if assignedHere(m, j, task, t) {
-		c.unassign(j, task)
+	if assignedHere(machine, job, task, report) {
+		c.unassign(job, task)
 	}
-	c.log(slog.LevelDebug, "attempt ended", "task", t.Task, "machine", m.ID, "cause", t.Cause, "attempt", t.Attempt)
-	if t.Cause == wire.CauseError {
-		c.taskFailed(m, j)
+	c.log(slog.LevelDebug, "attempt ended", "task", report.Task, "machine", machine.ID, "cause", report.Cause, "attempt", report.Attempt)
+	if report.Cause == wire.CauseError {
+		c.attributeFailure(machine, job)
 	}
 }
 
-// taskFailed judges who is to blame for a failed task: the machine, if tasks of
-// jobs that run elsewhere fail on it; the job, if it fails on several machines.
-func (c *Core) taskFailed(m *workers.Machine, j *jobs.Job) {
-	was := j.Faulty()
-	j.FailedOn[m.ID] = true
-	if j.Faulty() {
-		if !was {
-			// The machines were not to blame. Guards against two jobs with a mistake
-			// of which both had run on a machine: it was drained for them.
+// attributeFailure attributes a failed task to the machine if tasks of jobs that succeed elsewhere
+// fail on it, or to the job if it fails on several machines.
+func (c *Core) attributeFailure(machine *workers.Machine, job *jobs.Job) {
+	wasFaulty := job.Faulty()
+	job.FailedOn[machine.ID] = true
+	if job.Faulty() {
+		if !wasFaulty {
+			// The job is faulty, so its failures no longer count against the machines. Otherwise a
+			// machine that ran tasks of two faulty jobs would be drained.
 			for _, other := range c.pool.Machines {
-				delete(other.Failures, j.ID)
+				delete(other.Failures, job.ID)
 			}
 		}
-		// Tasks that were started together fail together: that is one try. Guards
-		// against a pause of a minute after the first, although the machines may
-		// have been at fault.
-		if c.now.Steady >= j.NotBefore {
-			j.Backoff = min(max(2*j.Backoff, limits.RetryBase), limits.RetryMost)
-			j.NotBefore = c.now.Steady + j.Backoff
-			c.log(slog.LevelInfo, "job fails everywhere", "job", j.ID, "machines", len(j.FailedOn), "retryIn", j.Backoff)
+		// Tasks that were started together fail together, which counts as one try. Otherwise the
+		// job would back off for a minute after its first try, although the machines may have been
+		// at fault.
+		if c.now.Steady >= job.NotBefore {
+			job.Backoff = min(max(2*job.Backoff, limits.RetryBase), limits.RetryMost)
+			job.NotBefore = c.now.Steady + job.Backoff
+			c.log(slog.LevelInfo, "job fails everywhere", "job", job.ID, "machines", len(job.FailedOn), "retryIn", job.Backoff)
 		}
 		return
 	}
-	m.Failures[j.ID]++
-	strikes := 0
-	for _, n := range m.Failures {
-		strikes += n
+	machine.Failures[job.ID]++
+	failures := 0
+	for _, count := range machine.Failures {
+		failures += count
 	}
-	if m.Draining || strikes < limits.StrikesOut || (len(m.Failures) == 1 && !j.Succeeded) {
+	if machine.Draining || failures < limits.StrikesOut || (len(machine.Failures) == 1 && !job.Succeeded) {
 		return
 	}
-	m.Draining, m.Faulty = true, true
-	c.log(slog.LevelInfo, "machine fails its tasks", "machine", m.ID, "strikes", strikes)
-	// What failed there says nothing about the jobs. Guards against jobs that were
-	// taken for faulty because several machines were.
+	machine.Draining, machine.Faulty = true, true
+	c.log(slog.LevelInfo, "machine fails its tasks", "machine", machine.ID, "strikes", failures)
+	// Failures on a faulty machine don't count against jobs. Otherwise several faulty machines
+	// would make healthy jobs look faulty.
 	for _, other := range c.jobs.Open {
-		delete(other.FailedOn, m.ID)
+		delete(other.FailedOn, machine.ID)
 	}
 }
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -59,7 +59,7 @@
 		}
 	}
 	big := c.jobs.Open["job-400000"]
-	if big == nil || !big.Launched() || big.DoneCount == 0 || big.DoneCount == big.Tasks {
+	if big == nil || !big.MayHaveLaunched() || big.DoneCount == 0 || big.DoneCount == big.Tasks {
 		t.Fatalf("the job of many parts: %+v", big)
 	}
 	if j := c.jobs.Open["job-400001"]; j == nil || !j.Cancelled {
--- a/internal/controller/usage_log.go
+++ b/internal/controller/usage_log.go
@@ -7,28 +7,28 @@
 	"umberpaddle/internal/limits"
 )
 
-// logUsage tells what the CPUs paid for are used for.
+// logUsage periodically logs what the CPUs of the rented machines are used for.
 func (c *Core) logUsage() {
 	if c.now.Steady < c.nextUsageLog {
 		return
 	}
 	c.nextUsageLog = c.now.Steady + limits.UsageLogInterval
-	by := map[jobs.TaskState]float64{}
+	cpusByState := map[jobs.TaskState]float64{}
 	idle, free, waiting := 0.0, 0.0, 0.0
 	for _, m := range c.pool.Machines {
-		t := c.fleet.Types[m.Class]
-		if t == nil || !m.Adopted {
+		machineType := c.fleet.Types[m.Class]
+		if machineType == nil || !m.Adopted {
 			continue
 		}
-		left := t.CPUs
-		for _, p := range c.loadOf(m.ID).tasks {
-			by[p.job.Assigned[p.task].State] += p.job.CPUs
-			left -= p.job.CPUs
+		unused := machineType.CPUs
+		for _, placed := range c.loadOf(m.ID).tasks {
+			cpusByState[placed.job.Assigned[placed.task].State] += placed.job.CPUs
+			unused -= placed.job.CPUs
 		}
 		if c.tasksOn(m.ID) == 0 {
-			idle += left
+			idle += unused
 		} else {
-			free += left
+			free += unused
 		}
 	}
 	for _, j := range c.jobs.Open {
@@ -37,9 +37,9 @@
 		}
 	}
 	booting := 0
-	for _, n := range c.fleet.Booting() {
-		booting += n
+	for _, count := range c.fleet.Booting() {
+		booting += count
 	}
-	c.log(slog.LevelDebug, "use of CPUs", "running", by[jobs.Running], "fetching", by[jobs.Fetching], "toldOrPlanned", by[jobs.Planned]+by[jobs.Sent],
-		"saving", by[jobs.Saving], "freeOnBusy", free, "idle", idle, "waiting", waiting, "bootingMachines", booting)
+	c.log(slog.LevelDebug, "use of CPUs", "running", cpusByState[jobs.Running], "fetching", cpusByState[jobs.Fetching], "toldOrPlanned", cpusByState[jobs.Planned]+cpusByState[jobs.Sent],
+		"saving", cpusByState[jobs.Saving], "freeOnBusy", free, "idle", idle, "waiting", waiting, "bootingMachines", booting)
 }
--- a/internal/jobs/answers.go
+++ b/internal/jobs/answers.go
@@ -8,37 +8,38 @@
 	"umberpaddle/internal/wire"
 )
 
-// Answer is what a user gets.
+// Answer is the response to a user's request: an HTTP status, a body, and the seconds to wait before
+// a retry (0: none).
 type Answer struct {
 	Status     int
 	Body       any
 	RetryAfter int
 }
 
-// RetryLater tells a user to come back.
+// RetryLater returns an answer that asks the user to retry later.
 func RetryLater() Answer {
 	return Answer{Status: 503, Body: wire.ErrorBody{Error: "try again"}, RetryAfter: limits.RetryAfterS}
 }
 
-func stateAnswer(s wire.JobStatus) Answer { return Answer{Status: 200, Body: s} }
+func statusAnswer(status wire.JobStatus) Answer { return Answer{Status: 200, Body: status} }
 
-// waiter is a user who waits for an answer about one job. It is answered once.
+// waiter is a user request that waits for an answer about one job. It is answered once.
 type waiter struct {
-	job string
-	// arrivedAfter is the last call to the state service that had left when the user's
-	// request arrived.
+	jobID string
+	// arrivedAfter is the number of the last call that had been sent to the state service when
+	// the user's request arrived.
 	arrivedAfter uint64
-	until        time.Duration
+	deadline     time.Duration
 	reply        func(Answer)
 	answered     bool
 }
 
 func (r *Registry) newWaiter(job string, wait time.Duration, reply func(Answer)) *waiter {
-	return &waiter{job: job, arrivedAfter: r.store.LastCall(), until: r.now + wait, reply: reply}
+	return &waiter{jobID: job, arrivedAfter: r.store.LastCall(), deadline: r.now + wait, reply: reply}
 }
 
-// answer gives an answer that says nothing about where the job stands, or its final state,
-// which no later reading can change.
+// answer sends an answer that can't be stale: one that doesn't depend on the job's state, or the
+// job's final state, which never changes.
 func (w *waiter) answer(a Answer) {
 	if !w.answered {
 		w.answered = true
@@ -46,33 +47,33 @@
 	}
 }
 
-// reading is an answered call to the state service that told where jobs stand.
-type reading struct{ call uint64 }
+// stateRead is an answered call to the state service that returned the state of jobs.
+type stateRead struct{ call uint64 }
 
-// covers tells whether the reading left after the user's request arrived. Only then is what it
-// told at least as new as every answer that any node had given before that request was sent.
-func (r reading) covers(w *waiter) bool { return r.call > w.arrivedAfter }
+// isFreshFor reports whether the read was sent after the user's request arrived. Only then is its
+// result at least as new as every answer that any node had sent before the user made the request.
+func (r stateRead) isFreshFor(w *waiter) bool { return r.call > w.arrivedAfter }
 
-// answerFrom answers with the state of a job that a reading found unfinished or unknown. It is
-// the only way by which such a state reaches a user, and it holds two rules: the end of the
-// job, if this node has learned it meanwhile, is told instead; and what was read before the
-// request came is withheld. Callers read anew for whom a reading doesn't cover, so a withheld
-// answer is a fault of this program.
-func (r *Registry) answerFrom(read reading, w *waiter, a Answer) {
-	if final, ok := r.finals[w.job]; ok {
-		w.answer(finalAnswer(w.job, final))
+// answerFromRead answers with the state of a job that a read found unfinished or unknown. Every
+// such state reaches users through this method, which enforces two rules: if this node has received
+// the job's final state meanwhile, it answers with that; and it withholds a state that was read
+// before the request arrived. Callers start a new read for a request for which theirs is not fresh,
+// so a withheld answer is a bug in this program.
+func (r *Registry) answerFromRead(read stateRead, w *waiter, a Answer) {
+	if final, ok := r.finals[w.jobID]; ok {
+		w.answer(finalAnswer(w.jobID, final))
 		return
 	}
-	if !read.covers(w) {
+	if !read.isFreshFor(w) {
 		r.WithheldAnswers++
-		r.log(slog.LevelError, "answer withheld: read before its request came", "job", w.job, "call", read.call, "arrivedAfter", w.arrivedAfter)
+		r.log(slog.LevelError, "answer withheld: read before its request came", "job", w.jobID, "call", read.call, "arrivedAfter", w.arrivedAfter)
 		w.answer(RetryLater())
 		return
 	}
-	r.log(slog.LevelDebug, "job state told", "job", w.job, "status", a.Status, "call", read.call, "arrivedAfter", w.arrivedAfter, "revision", r.store.Mirror.Revision)
+	r.log(slog.LevelDebug, "job state told", "job", w.jobID, "status", a.Status, "call", read.call, "arrivedAfter", w.arrivedAfter, "revision", r.store.Mirror.Revision)
 	w.answer(a)
 }
 
-func finalAnswer(job string, f finalState) Answer {
-	return stateAnswer(wire.JobStatus{ID: job, Status: f.Status, Done: f.Done})
+func finalAnswer(job string, final finalState) Answer {
+	return statusAnswer(wire.JobStatus{ID: job, Status: final.Status, Done: final.Done})
 }
--- a/internal/jobs/cancellations.go
+++ b/internal/jobs/cancellations.go
@@ -13,96 +13,102 @@
 	"umberpaddle/internal/wire"
 )
 
-// Cancel cancels a job unless it is over.
+// Cancel cancels a job unless it has ended.
 func (r *Registry) Cancel(now time.Duration, id string, answer func(Answer)) {
 	r.now = max(r.now, now)
-	r.lookUp(&lookup{waiter: r.newWaiter(id, limits.SubmitWait, answer), cancel: true})
+	r.startLookup(&lookup{waiter: r.newWaiter(id, limits.SubmitWait, answer), cancel: true})
 }
 
-// readOpen finds the version of a job that the mirror doesn't have yet.
-func (r *Registry) readOpen(a *lookup) {
-	r.store.Get(statestore.User, limits.PollWait, keyJob+a.job, func(reply statestore.Reply) {
+// readVersionAndCancel reads the version of a job that is not in the mirror yet, and cancels it.
+func (r *Registry) readVersionAndCancel(request *lookup) {
+	r.store.Get(statestore.User, limits.PollWait, keyJob+request.jobID, func(reply statestore.Reply) {
 		var row wire.Row
 		if reply.Status != statestore.OK || wire.Decode(reply.Body, &row) != nil {
-			a.answer(RetryLater())
+			request.answer(RetryLater())
 			return
 		}
-		r.cancel(a, row.Version)
+		r.writeCancellation(request, row.Version)
 	})
 }
 
-func (r *Registry) cancel(a *lookup, version uint64) {
+// writeCancellation records the cancellation of a job whose record has the given version, and
+// answers the request. If the job has ended or its record has changed, it answers with the final
+// state, or asks the user to retry if there is none.
+func (r *Registry) writeCancellation(request *lookup, version uint64) {
 	done := 0
-	if j := r.Open[a.job]; j != nil {
+	if j := r.Open[request.jobID]; j != nil {
 		done = max(j.DoneCount, j.displayDone)
 	}
-	f := finalState{Status: wire.StatusCancelled, Done: done}
-	t := wire.Txn{
-		Guards: []wire.Guard{{Key: keyJob + a.job, Version: version}, {Key: keyFinal + a.job}},
-		Then:   []wire.Op{{Key: keyFinal + a.job, Value: f}, {Key: keyCancelled + a.job, Value: true}}}
-	r.store.Txn(statestore.User, limits.SubmitWait, t, func(reply statestore.Reply) {
+	final := finalState{Status: wire.StatusCancelled, Done: done}
+	txn := wire.Txn{
+		Guards: []wire.Guard{{Key: keyJob + request.jobID, Version: version}, {Key: keyFinal + request.jobID}},
+		Then:   []wire.Op{{Key: keyFinal + request.jobID, Value: final}, {Key: keyCancelled + request.jobID, Value: true}}}
+	r.store.Txn(statestore.User, limits.SubmitWait, txn, func(reply statestore.Reply) {
 		switch reply.Status {
 		case statestore.OK:
-			r.cacheFinal(a.job, f)
-			r.log(slog.LevelInfo, "cancellation confirmed to its user", "job", a.job, "call", reply.Call)
-			a.answer(finalAnswer(a.job, f))
+			r.cacheFinal(request.jobID, final)
+			r.log(slog.LevelInfo, "cancellation confirmed to its user", "job", request.jobID, "call", reply.Call)
+			request.answer(finalAnswer(request.jobID, final))
 		case statestore.Conflict:
-			r.readFinal(a)
+			r.answerWithFinal(request)
 		default:
-			a.answer(RetryLater())
+			request.answer(RetryLater())
 		}
 	})
 }
 
-// ToldLongAgo stands for a cancellation of which users may have been told at any time.
-const ToldLongAgo = time.Duration(math.MinInt64 / 4)
+// ConfirmedAtAnyTime stands for a cancellation that may have been confirmed to users at any time
+// in the past.
+const ConfirmedAtAnyTime = time.Duration(math.MinInt64 / 4)
 
-// toldWithin tells for the log how long ago a user can have been told of a cancellation.
-func toldWithin(now, toldAfter time.Duration) string {
-	if toldAfter == ToldLongAgo {
+// confirmedWithin returns, for the log, how long ago at most a cancellation can have been confirmed
+// to a user.
+func confirmedWithin(now, confirmedAfter time.Duration) string {
+	if confirmedAfter == ConfirmedAtAnyTime {
 		return "any time"
 	}
-	return (now - toldAfter).String()
+	return (now - confirmedAfter).String()
 }
 
-// NoteCancellationsKnown takes note up to when this node knows of all cancellations that users were
-// told. It has to be called before anything newer is taken in: what is learned from then on was
-// told later.
-func (r *Registry) NoteCancellationsKnown(through time.Duration) {
+// SetCancellationsKnownThrough records the time up to which this node knows of all cancellations
+// confirmed to users. It must be called before newer input is processed: a cancellation received
+// after the call counts as confirmed after that time.
+func (r *Registry) SetCancellationsKnownThrough(through time.Duration) {
 	if r.store.Mirror.Loaded {
-		r.cancellationsKnown = through
+		r.cancellationsKnownThrough = through
 	}
 }
 
-// IsDone tells whether this node remembers that a job was done.
+// IsDone reports whether this node still remembers that a job completed.
 func (r *Registry) IsDone(id string) bool {
 	return r.finals[id].Status == wire.StatusDone || r.finalized[id] != nil
 }
 
-// setCancelled marks a job that is open as cancelled.
-func (r *Registry) setCancelled(j *Job, toldAfter time.Duration) {
-	j.Cancelled, j.ToldAfter = true, toldAfter
+// setCancelled marks an open job as cancelled.
+func (r *Registry) setCancelled(j *Job, confirmedAfter time.Duration) {
+	j.Cancelled, j.CancelConfirmedAfter = true, confirmedAfter
 	r.cancelled[j.ID] = j
 }
 
+// markCancelled marks a job as cancelled if it is open, and reports whether this is a change.
 func (r *Registry) markCancelled(id string) bool {
 	j := r.Open[id]
 	if j == nil || j.Cancelled {
 		return false
 	}
-	r.setCancelled(j, r.cancellationsKnown)
-	r.log(slog.LevelInfo, "job cancelled", "job", id, "toldWithin", toldWithin(r.now, j.ToldAfter))
+	r.setCancelled(j, r.cancellationsKnownThrough)
+	r.log(slog.LevelInfo, "job cancelled", "job", id, "toldWithin", confirmedWithin(r.now, j.CancelConfirmedAfter))
 	return true
 }
 
-// CancelledAfter lists the cancelled jobs that some owner may have launched and that are cancelled
-// by a change after a revision, as far as this node knows. An owner whose term is a later revision
-// than the cancellation's never launched a task of the job: it knew.
+// CancelledAfter returns the jobs that some owner may have launched and whose cancellation was
+// recorded after a revision, or is not known to be older. An owner whose term is a later revision
+// than the cancellation has never launched a task of the job, because it had read the cancellation.
 func (r *Registry) CancelledAfter(revision uint64) (list []*Job) {
 	for id, j := range r.cancelled {
-		// Until the mark is read, the cancellation passes for newer than everything.
+		// Until the mark is read, the cancellation counts as newer than every revision.
 		mark, read := r.store.Mirror.Get(keyCancelled + id)
-		if j.Launched() && (!read || mark.Version > revision) {
+		if j.MayHaveLaunched() && (!read || mark.Version > revision) {
 			list = append(list, j)
 		}
 	}
@@ -110,41 +116,42 @@
 	return list
 }
 
-// MergeCancellations takes in cancellations of which a peer knows that they are recorded. It tells
-// whether any of them is new to this node.
-func (r *Registry) MergeCancellations(now time.Duration, ids []string) (news bool) {
+// MergeCancellations applies cancellations that a peer reports as recorded in the state service.
+// It reports whether any of them is new to this node and concerns an open job.
+func (r *Registry) MergeCancellations(now time.Duration, ids []string) (anyNew bool) {
 	r.now = max(r.now, now)
 	for _, id := range ids {
 		j := r.Open[id]
-		news = news || j != nil && !j.Cancelled
+		anyNew = anyNew || j != nil && !j.Cancelled
 		if _, ok := r.finals[id]; !ok {
-			f := finalState{Status: wire.StatusCancelled}
+			final := finalState{Status: wire.StatusCancelled}
 			if j != nil {
-				f.Done = max(j.DoneCount, j.displayDone)
+				final.Done = max(j.DoneCount, j.displayDone)
 			}
-			r.cacheFinal(id, f)
+			r.cacheFinal(id, final)
 		}
 		r.markCancelled(id)
 	}
-	return news
+	return anyNew
 }
 
-// Cancellations lists the cancelled jobs that this node knows of and that may still
-// have tasks, with those that it told a user of lately.
+// Cancellations returns the cancelled jobs that may still have tasks, as far as this node knows,
+// and the jobs whose cancellation it confirmed to a user recently.
 //
-// Guards against a list that was vouched for and lacked one that was told long ago: at the moment
-// at which it was passed on as told no more, and for good if the job's record had not been read.
+// A confirmed cancellation stays in the list until the job's record is known to be removed. With
+// the time limit alone, the list sent to peers as complete could lack an old cancellation: for a
+// moment when the limit expires, and permanently if this node had not read the job's record.
 func (r *Registry) Cancellations() []string {
 	var ids []string
 	for id := range r.cancelled {
 		ids = append(ids, id)
 	}
-	for id, at := range r.confirmedCancels {
+	for id, confirmedAt := range r.confirmedCancellations {
 		if r.cancelled[id] != nil {
-			continue // listed above
+			continue // included above
 		}
-		if r.now-at > limits.CancelNoticeFor && r.recordRemoved(id, at) {
-			delete(r.confirmedCancels, id)
+		if r.now-confirmedAt > limits.CancelNoticeFor && r.recordRemoved(id, confirmedAt) {
+			delete(r.confirmedCancellations, id)
 			continue
 		}
 		ids = append(ids, id)
@@ -153,16 +160,16 @@
 	return ids
 }
 
-// recordRemoved tells whether the record of a job that was over at some time is known to be gone
-// since, and with it the job's last task.
-func (r *Registry) recordRemoved(id string, over time.Duration) bool {
-	return r.Open[id] == nil && r.store.Mirror.KnownThrough > over
+// recordRemoved reports whether the record of a job that had ended at the given time is known to
+// have been removed since. The record is removed only when no task of the job is left.
+func (r *Registry) recordRemoved(id string, endedAt time.Duration) bool {
+	return r.Open[id] == nil && r.store.Mirror.KnownThrough > endedAt
 }
 
-// TakeNewCancellations lists the cancellations that became known here, by an answer to a user or by a
-// peer, since the last call.
+// TakeNewCancellations returns the cancellations that this node confirmed to a user or received
+// from a peer since the last call.
 func (r *Registry) TakeNewCancellations() []string {
-	ids := r.newCancels
-	r.newCancels = nil
+	ids := r.newCancellations
+	r.newCancellations = nil
 	return ids
 }
--- a/internal/jobs/done_sets.go
+++ b/internal/jobs/done_sets.go
@@ -13,130 +13,132 @@
 	"umberpaddle/internal/wire"
 )
 
-type donePart struct {
+// doneSetChunk is the value of a key that holds one chunk of a done set.
+type doneSetChunk struct {
 	Done string `msgpack:"b"`
 }
 
-// applyDone follows the record of a job with few tasks.
-func (r *Registry) applyDone(id, _ string, value msgpack.RawMessage, gone bool) {
-	delete(r.orphanRecords, id)
+// applyDoneSet applies a change of the done set of a job with few tasks.
+func (r *Registry) applyDoneSet(id, _ string, value msgpack.RawMessage, removed bool) {
+	delete(r.orphanDoneSets, id)
 	j := r.Open[id]
-	var text string
-	if gone || wire.Decode(value, &text) != nil || r.finalized[id] != nil {
+	var encoded string
+	if removed || wire.Decode(value, &encoded) != nil || r.finalized[id] != nil {
 		return
 	}
 	if j == nil {
-		r.orphanRecords[id] = true
+		r.orphanDoneSets[id] = true
 		return
 	}
-	j.launched = true
-	j.durable.merge(0, limits.ChunkTasks, text, j.Tasks)
-	j.DoneCount += len(j.Done.merge(0, limits.ChunkTasks, text, j.Tasks))
+	j.doneSetWritten = true
+	j.durableDone.mergeChunk(0, limits.ChunkTasks, encoded, j.Tasks)
+	j.DoneCount += len(j.Done.mergeChunk(0, limits.ChunkTasks, encoded, j.Tasks))
 }
 
-// IsDoneSet tells whether a key holds done sets.
-func (r *Registry) IsDoneSet(key string) bool {
-	return strings.HasPrefix(key, keyDoneSets) || strings.HasPrefix(key, keyLargePart) || strings.HasPrefix(key, keyPart)
+// IsDoneSetKey reports whether a key holds done sets or chunks of them.
+func (r *Registry) IsDoneSetKey(key string) bool {
+	return strings.HasPrefix(key, keyDoneSets) || strings.HasPrefix(key, keyLargeChunk) || strings.HasPrefix(key, keyChunk)
 }
 
-// DropPending drops what was to be written as owner of a class.
-func (r *Registry) DropPending(class string) {
+// DropPendingWrites drops the done-set writes that are pending for a class this node no longer owns.
+func (r *Registry) DropPendingWrites(class string) {
 	r.doneSets.Forget(class)
 	for _, j := range r.Open {
 		if j.GuardClass == class {
-			j.recordRequested = false
+			j.doneSetRequested = false
 		}
 	}
 }
 
-func (r *Registry) markOrphan(key string) {
+// markOrphanChunk marks a chunk for removal if the mirror contains it.
+func (r *Registry) markOrphanChunk(key string) {
 	if _, ok := r.store.Mirror.Get(key); ok {
-		r.orphanParts[key] = true
+		r.orphanChunks[key] = true
 	}
 }
 
-// removeOrphans removes parts of done sets whose job is over: they did not fit into the
-// transaction that ended it.
+// removeOrphans removes done sets and chunks whose job has been removed. These are the ones that
+// were not removed in the transaction that finalized the job.
 func (r *Registry) removeOrphans() {
-	for id := range r.orphanRecords {
+	for id := range r.orphanDoneSets {
 		r.doneSets.Remove(id, limits.PageDelay)
 	}
-	if len(r.orphanParts) == 0 || r.removingOrphans {
+	if len(r.orphanChunks) == 0 || r.removingOrphans {
 		return
 	}
-	var t wire.Txn
-	for _, key := range slices.Sorted(maps.Keys(r.orphanParts)) {
-		e, ok := r.store.Mirror.Get(key)
+	var txn wire.Txn
+	for _, key := range slices.Sorted(maps.Keys(r.orphanChunks)) {
+		entry, ok := r.store.Mirror.Get(key)
 		if !ok {
-			delete(r.orphanParts, key)
+			delete(r.orphanChunks, key)
 			continue
 		}
-		if len(t.Then) < r.store.MaxWrites() {
-			t.Guards = append(t.Guards, wire.Guard{Key: key, Version: e.Version})
-			t.Then = append(t.Then, wire.Op{Remove: key})
+		if len(txn.Then) < r.store.MaxWrites() {
+			txn.Guards = append(txn.Guards, wire.Guard{Key: key, Version: entry.Version})
+			txn.Then = append(txn.Then, wire.Op{Remove: key})
 		}
 	}
-	if len(t.Then) == 0 {
+	if len(txn.Then) == 0 {
 		return
 	}
 	r.removingOrphans = true
-	r.store.Txn(statestore.Progress, limits.StoreTimeout*2, t, func(statestore.Reply) { r.removingOrphans = false })
+	r.store.Txn(statestore.Progress, limits.StoreTimeout*2, txn, func(statestore.Reply) { r.removingOrphans = false })
 }
 
-// Prepare writes the mark that a job's tasks may be running, before the first
-// launch. It is done once Prepared is set.
+// Prepare writes the job's done set, which marks that its tasks may be running. It must be called
+// until Prepared is set; only then may the first task be launched.
 func (r *Registry) Prepare(j *Job) {
 	switch {
-	case j.Launched():
+	case j.MayHaveLaunched():
 		j.Prepared = true
 	case j.isPacked():
-		if !j.recordRequested {
-			j.recordRequested = true
-			// Guards against jobs that waited for one change each, one after the other,
-			// when many small ones came.
+		if !j.doneSetRequested {
+			j.doneSetRequested = true
+			// The wait lets the done sets of many small jobs share one write. Without it,
+			// jobs that arrived together waited for one write each, one after the other.
 			wait := min(r.store.WriteWait(statestore.Finish), limits.PrepareWait)
-			r.doneSets.SetUrgent(j.GuardClass, j.ID, j.Done.chunk(0, limits.ChunkTasks), wait)
+			r.doneSets.SetUrgent(j.GuardClass, j.ID, j.Done.encodeChunk(0, limits.ChunkTasks), wait)
 		}
-	case !j.writing:
-		r.writePart(j, 0, statestore.Records)
+	case !j.chunkWriteInFlight:
+		r.writeChunk(j, 0, statestore.Records)
 	}
 }
 
-// writePart writes part k of a done set. As long as a node may run a version that reads
-// only the larger parts, those are written.
-func (r *Registry) writePart(j *Job, k int, prio statestore.Priority) {
-	j.writing = true
-	prefix, tasks, first := keyPart, limits.ChunkTasks, k
-	if r.format() < 2 {
-		prefix, tasks = keyLargePart, limits.OldChunkTasks
-		first = k * limits.ChunkTasks / tasks
+// writeChunk writes chunk chunkIndex of a done set. While a node may run a version that reads only
+// the larger chunks, it writes the larger chunk that contains this one.
+func (r *Registry) writeChunk(j *Job, chunkIndex int, priority statestore.Priority) {
+	j.chunkWriteInFlight = true
+	prefix, chunkTasks, keyIndex := keyChunk, limits.ChunkTasks, chunkIndex
+	if r.recordFormat() < 2 {
+		prefix, chunkTasks = keyLargeChunk, limits.OldChunkTasks
+		keyIndex = chunkIndex * limits.ChunkTasks / chunkTasks
 	}
-	key := prefix + j.ID + "/" + strconv.Itoa(first)
-	text := j.Done.chunk(first, tasks)
-	var of []int // the parts that this writes
-	for n := first * tasks / limits.ChunkTasks; n < (first+1)*tasks/limits.ChunkTasks; n++ {
-		if j.dirty[n] {
-			delete(j.dirty, n)
-			of = append(of, n)
+	key := prefix + j.ID + "/" + strconv.Itoa(keyIndex)
+	encoded := j.Done.encodeChunk(keyIndex, chunkTasks)
+	var written []int // dirty chunks that this transaction writes
+	for dirtyIndex := keyIndex * chunkTasks / limits.ChunkTasks; dirtyIndex < (keyIndex+1)*chunkTasks/limits.ChunkTasks; dirtyIndex++ {
+		if j.dirtyChunks[dirtyIndex] {
+			delete(j.dirtyChunks, dirtyIndex)
+			written = append(written, dirtyIndex)
 		}
 	}
-	t := wire.Txn{
-		Guards: []wire.Guard{r.guard(j.GuardClass), {Key: keyJob + j.ID, Version: j.version}, {Key: key, Version: j.parts[key]}},
-		Then:   []wire.Op{{Key: key, Value: donePart{Done: text}}}}
-	r.store.Txn(prio, limits.StoreTimeout*2, t, func(reply statestore.Reply) {
-		j.writing = false
-		var tr wire.TxnReply
-		if reply.Status == statestore.OK && wire.Decode(reply.Body, &tr) == nil {
-			j.parts[key] = max(j.parts[key], tr.Revision)
-			j.durable.merge(first, tasks, text, j.Tasks)
-			if k == 0 {
+	txn := wire.Txn{
+		Guards: []wire.Guard{r.ownerGuard(j.GuardClass), {Key: keyJob + j.ID, Version: j.version}, {Key: key, Version: j.chunkVersions[key]}},
+		Then:   []wire.Op{{Key: key, Value: doneSetChunk{Done: encoded}}}}
+	r.store.Txn(priority, limits.StoreTimeout*2, txn, func(reply statestore.Reply) {
+		j.chunkWriteInFlight = false
+		var txnReply wire.TxnReply
+		if reply.Status == statestore.OK && wire.Decode(reply.Body, &txnReply) == nil {
+			j.chunkVersions[key] = max(j.chunkVersions[key], txnReply.Revision)
+			j.durableDone.mergeChunk(keyIndex, chunkTasks, encoded, j.Tasks)
+			if chunkIndex == 0 {
 				j.Prepared = true
 			}
 			return
 		}
-		for _, n := range of { // the mirror brings the version if it was applied after all
-			j.dirty[n] = true
+		for _, dirtyIndex := range written { // if the write was applied after all, the mirror supplies its version
+			j.dirtyChunks[dirtyIndex] = true
 		}
-		r.flushAt[j.ID] = r.now + limits.StoreBackoff
+		r.nextWriteAt[j.ID] = r.now + limits.StoreBackoff
 	})
 }
--- a/internal/jobs/faulty_jobs.go
+++ b/internal/jobs/faulty_jobs.go
@@ -4,20 +4,21 @@
 	"slices"
 )
 
-// Suspect records that an owner takes jobs for faulty.
-func (r *Registry) Suspect(ids []string) {
+// MarkFaulty records that an owner considers jobs faulty.
+func (r *Registry) MarkFaulty(ids []string) {
 	for _, id := range ids {
 		if j := r.Open[id]; j != nil {
-			j.Suspect = true
+			j.MarkedFaulty = true
 		}
 	}
 }
 
-// Suspects lists the jobs that an owner took for faulty, but for those that are known.
-func (r *Registry) Suspects(known []string) []string {
+// MarkedFaulty returns the jobs that an owner marked as faulty and that are still considered so,
+// except those in known.
+func (r *Registry) MarkedFaulty(known []string) []string {
 	var ids []string
 	for id, j := range r.Open {
-		if j.Suspect && j.Faulty() && !slices.Contains(known, id) {
+		if j.MarkedFaulty && j.Faulty() && !slices.Contains(known, id) {
 			ids = append(ids, id)
 		}
 	}
--- a/internal/jobs/final_states.go
+++ b/internal/jobs/final_states.go
@@ -17,57 +17,58 @@
 	Done   int           `msgpack:"d"`
 }
 
-// finalize removes a job, writing its final state first unless status is empty.
-// Done against cancelled is decided here: both need fin/ID to be absent.
+// finalize removes a job and writes its final state in the same transaction, unless status is
+// empty. A completion and a cancellation can't both succeed, because each requires fin/ID to be
+// absent.
 func (r *Registry) finalize(j *Job, status wire.JobState) {
-	j.closing = true
-	t, prio, removeLater := r.finalTxn(j, status)
-	r.store.Txn(prio, limits.StoreTimeout*2, t, func(reply statestore.Reply) {
-		j.closing = false
-		r.flushAt[j.ID] = r.now + limits.StoreBackoff
+	j.finalizing = true
+	txn, priority, removeLater := r.finalizeTxn(j, status)
+	r.store.Txn(priority, limits.StoreTimeout*2, txn, func(reply statestore.Reply) {
+		j.finalizing = false
+		r.nextWriteAt[j.ID] = r.now + limits.StoreBackoff
 		if reply.Status == statestore.OK {
-			j.closing = true
-			r.finalWritten(j, status, removeLater)
+			j.finalizing = true
+			r.handleFinalWritten(j, status, removeLater)
 			return
 		}
-		// An earlier owner may have written the end, and not have come to clean up.
-		var tr wire.TxnReply
-		if reply.Status == statestore.Conflict && status != "" && wire.Decode(reply.Body, &tr) == nil && slices.Contains(tr.Failed, keyFinal+j.ID) {
-			r.readOwnFinal(j)
+		// An earlier owner may have written the final state without removing the job's record.
+		var txnReply wire.TxnReply
+		if reply.Status == statestore.Conflict && status != "" && wire.Decode(reply.Body, &txnReply) == nil && slices.Contains(txnReply.Failed, keyFinal+j.ID) {
+			r.readFinalOfOwnedJob(j)
 		}
 	})
 }
 
-// finalTxn is the transaction that ends a job. The record of a small job goes later, with
-// others': a completion costs one change while changes are scarce. Until then its done set
-// stays, too.
-func (r *Registry) finalTxn(j *Job, status wire.JobState) (t wire.Txn, prio statestore.Priority, removeLater bool) {
-	t.Guards = []wire.Guard{r.guard(j.GuardClass), {Key: keyJob + j.ID, Version: j.version}}
-	prio = statestore.Progress
+// finalizeTxn returns the transaction that finalizes a job. The record of a small job is removed
+// later, in a batch with others, so that a completion costs only one write while the write budget
+// is scarce. Its done set stays until then, too.
+func (r *Registry) finalizeTxn(j *Job, status wire.JobState) (txn wire.Txn, priority statestore.Priority, removeLater bool) {
+	txn.Guards = []wire.Guard{r.ownerGuard(j.GuardClass), {Key: keyJob + j.ID, Version: j.version}}
+	priority = statestore.Progress
 	if status != "" {
-		prio = statestore.Finish
-		t.Guards = append(t.Guards, wire.Guard{Key: keyFinal + j.ID})
-		t.Then = append(t.Then, wire.Op{Key: keyFinal + j.ID, Value: finalState{Status: status, Done: j.DoneCount}})
+		priority = statestore.Finish
+		txn.Guards = append(txn.Guards, wire.Guard{Key: keyFinal + j.ID})
+		txn.Then = append(txn.Then, wire.Op{Key: keyFinal + j.ID, Value: finalState{Status: status, Done: j.DoneCount}})
 	}
 	removeLater = status != "" && j.isPacked() && !j.Cancelled
 	if !removeLater {
-		t.Then = append(t.Then, wire.Op{Remove: keyJob + j.ID})
+		txn.Then = append(txn.Then, wire.Op{Remove: keyJob + j.ID})
 	}
 	if j.Cancelled {
-		t.Then = append(t.Then, wire.Op{Remove: keyCancelled + j.ID})
+		txn.Then = append(txn.Then, wire.Op{Remove: keyCancelled + j.ID})
 	}
-	// Parts that don't fit into the transaction are swept later: without the
-	// job they mean nothing.
-	for _, key := range slices.Sorted(maps.Keys(j.parts)) {
-		if !removeLater && len(t.Then) < r.store.TxnOps {
-			t.Then = append(t.Then, wire.Op{Remove: key})
+	// Chunks that don't fit into the transaction are removed later by removeOrphans. They have
+	// no meaning without the job.
+	for _, key := range slices.Sorted(maps.Keys(j.chunkVersions)) {
+		if !removeLater && len(txn.Then) < r.store.TxnOps {
+			txn.Then = append(txn.Then, wire.Op{Remove: key})
 		}
 	}
-	return t, prio, removeLater
+	return txn, priority, removeLater
 }
 
-// finalWritten takes note that a job's end is in the state service.
-func (r *Registry) finalWritten(j *Job, status wire.JobState, removeLater bool) {
+// handleFinalWritten updates the registry after the transaction that finalized a job.
+func (r *Registry) handleFinalWritten(j *Job, status wire.JobState, removeLater bool) {
 	if status != "" {
 		r.cacheFinal(j.ID, finalState{Status: status, Done: j.DoneCount})
 		r.log(slog.LevelInfo, "job over", "job", j.ID, "class", j.Class, "status", status, "tasks", j.Tasks,
@@ -76,76 +77,81 @@
 	if removeLater {
 		r.awaitRemoval(j)
 	} else {
-		r.forget(j.ID)
+		r.dropOpen(j.ID)
 	}
 }
 
-// readOwnFinal reads the end that another owner wrote for a job of ours.
-func (r *Registry) readOwnFinal(j *Job) {
+// readFinalOfOwnedJob reads the final state that another owner wrote for a job of this node, and
+// finalizes the job if it completed.
+func (r *Registry) readFinalOfOwnedJob(j *Job) {
 	r.store.Get(statestore.Finish, limits.PollWait, keyFinal+j.ID, func(reply statestore.Reply) {
-		f, ok := decodeFinal(reply)
-		if ok && f.Status == wire.StatusDone && r.Open[j.ID] == j && len(j.Assigned) == 0 {
-			r.cacheFinal(j.ID, f)
+		final, ok := decodeFinal(reply)
+		if ok && final.Status == wire.StatusDone && r.Open[j.ID] == j && len(j.Assigned) == 0 {
+			r.cacheFinal(j.ID, final)
 			r.awaitRemoval(j)
 		}
 	})
 }
 
-// decodeFinal reads the answer to a question for a final state.
-func decodeFinal(reply statestore.Reply) (f finalState, ok bool) {
+// decodeFinal decodes the reply to a read of a final state.
+func decodeFinal(reply statestore.Reply) (final finalState, ok bool) {
 	var row wire.Row
-	ok = reply.Status == statestore.OK && wire.Decode(reply.Body, &row) == nil && wire.Decode(row.Value, &f) == nil && f.Status != ""
-	return f, ok
+	ok = reply.Status == statestore.OK && wire.Decode(reply.Body, &row) == nil && wire.Decode(row.Value, &final) == nil && final.Status != ""
+	return final, ok
 }
 
-// awaitRemoval puts a job whose end is written aside until its record is removed.
+// awaitRemoval closes a job whose final state is written, and keeps it in finalized until its
+// record is removed.
 func (r *Registry) awaitRemoval(j *Job) {
 	delete(r.Open, j.ID)
 	delete(r.cancelled, j.ID)
-	delete(r.flushAt, j.ID)
+	delete(r.nextWriteAt, j.ID)
 	r.finalized[j.ID] = j
 }
 
-// removeFinalizedRecords removes the records of jobs that are over, many in one transaction. No owner's
-// guard is needed: an end that is written stays.
+// removeFinalizedRecords removes the records of finalized jobs, many in one transaction. It needs
+// no owner guard, because a final state never changes.
 func (r *Registry) removeFinalizedRecords() {
 	if r.removingFinalized || len(r.finalized) == 0 || !r.store.CanSpare(1) {
 		return
 	}
-	var t wire.Txn
+	var txn wire.Txn
 	for _, id := range slices.Sorted(maps.Keys(r.finalized)) {
-		e, ok := r.store.Mirror.Get(keyJob + id)
+		entry, ok := r.store.Mirror.Get(keyJob + id)
 		if !ok {
 			delete(r.finalized, id)
 			continue
 		}
-		if len(t.Then) < r.store.MaxWrites() {
-			t.Guards = append(t.Guards, wire.Guard{Key: keyJob + id, Version: e.Version})
-			t.Then = append(t.Then, wire.Op{Remove: keyJob + id})
+		if len(txn.Then) < r.store.MaxWrites() {
+			txn.Guards = append(txn.Guards, wire.Guard{Key: keyJob + id, Version: entry.Version})
+			txn.Then = append(txn.Then, wire.Op{Remove: keyJob + id})
 		}
 	}
-	if len(t.Then) == 0 {
+	if len(txn.Then) == 0 {
 		return
 	}
 	r.removingFinalized = true
-	r.store.Txn(statestore.Progress, limits.StoreTimeout*2, t, func(statestore.Reply) { r.removingFinalized = false })
+	r.store.Txn(statestore.Progress, limits.StoreTimeout*2, txn, func(statestore.Reply) { r.removingFinalized = false })
 }
 
-// forget forgets a job that is over; its record goes with the next batch.
-func (r *Registry) forget(id string) {
-	if j := r.Open[id]; j != nil && j.launched {
-		r.orphanRecords[id] = true
+// dropOpen removes a job that has ended from the open jobs. Its done set is removed by
+// removeOrphans.
+func (r *Registry) dropOpen(id string) {
+	if j := r.Open[id]; j != nil && j.doneSetWritten {
+		r.orphanDoneSets[id] = true
 	}
 	delete(r.Open, id)
 	delete(r.cancelled, id)
-	delete(r.flushAt, id)
+	delete(r.nextWriteAt, id)
 }
 
-func (r *Registry) cacheFinal(id string, f finalState) {
+// cacheFinal adds a final state to the cache and evicts the oldest entry of a full cache. A
+// cancellation is also recorded for users, owners and the open job.
+func (r *Registry) cacheFinal(id string, final finalState) {
 	if _, ok := r.finals[id]; !ok {
-		if f.Status == wire.StatusCancelled {
-			r.confirmedCancels[id] = r.now
-			r.newCancels = append(r.newCancels, id)
+		if final.Status == wire.StatusCancelled {
+			r.confirmedCancellations[id] = r.now
+			r.newCancellations = append(r.newCancellations, id)
 			r.markCancelled(id)
 		}
 		r.finalOrder = append(r.finalOrder, id)
@@ -154,5 +160,5 @@
 			r.finalOrder = r.finalOrder[1:]
 		}
 	}
-	r.finals[id] = f
+	r.finals[id] = final
 }
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -11,133 +11,136 @@
 	"umberpaddle/internal/wire"
 )
 
-// TaskState is where a located task stands.
+// TaskState is the state of an assigned task.
 type TaskState int
 
 // Task states, in the order in which an attempt goes through them.
 const (
-	Planned  TaskState = iota // chosen, not yet told to the worker
-	Sent                      // told in an answer that may be lost
-	Fetching                  // reported
+	Planned  TaskState = iota // machine chosen, no command sent yet
+	Sent                      // command sent, but it may be lost
+	Fetching                  // a report showed it fetching
 	Running
 	Saving
 )
 
-// Delivery is how a worker was told of an attempt that no report has shown yet.
+// Delivery is how the command to start an attempt was sent to the worker, for an attempt that no
+// report has shown yet.
 type Delivery int
 
-// Ways of telling.
+// Ways in which a command is delivered.
 const (
-	InReply         Delivery = iota // in the answer to a report: the next report decides
-	DirectPending                   // in an order that is under way
-	DirectConfirmed                 // in an order that was answered: any newer list decides
-	DirectUnknown                   // in an order that was not answered, and may be carried out late
+	InReply         Delivery = iota // in the answer to a report; the next report shows whether it arrived
+	DirectPending                   // in a direct call that is in flight
+	DirectConfirmed                 // in a direct call that was answered; any newer task list shows the result
+	DirectUnknown                   // in a direct call that was not answered, and may still be executed later
 )
 
-// Assignment is where a task is.
+// Assignment records the machine and the state of one attempt of a task.
 type Assignment struct {
 	Machine      string
 	Attempt      uint64
 	State        TaskState
 	RunningSince time.Duration // when it was first seen running; 0: not yet
 	Delivery     Delivery
-	Session      uint64 // of the worker, if Ordered or Lost
+	Session      uint64 // of the worker, if Delivery is one of the Direct values
 }
 
-// Job is an unfinished job, or a cancelled one with tasks that may be left.
+// Job is an unfinished job, or a cancelled job of which tasks may be left.
 type Job struct {
 	*wire.Job
 	version   uint64
 	Cancelled bool
-	// ToldAfter is the earliest time at which a user can have been told that the job is cancelled:
-	// up to then this node knew of every cancellation that users were told, and not of this one.
-	ToldAfter       time.Duration
-	Done            Bits
-	DoneCount       int
-	durable         Bits
-	parts           map[string]uint64 // versions of the written parts of the done set, by key
-	dirty           map[int]bool
-	launched        bool // its record is written
-	recordRequested bool // its record was requested
-	writing         bool
-	closing         bool
-	Assigned        map[int]Assignment
-	nextScan        int
-	GuardClass      string // a class of the job, for the owner's guard
-	TypeSet         map[string]bool
-	Shape           string // equal for jobs whose tasks may use the same machines
+	// CancelConfirmedAfter is the earliest time at which the cancellation of the job can have been
+	// confirmed to a user. Up to that time this node knew of every cancellation confirmed to
+	// users, and this one was not among them.
+	CancelConfirmedAfter time.Duration
+	Done                 TaskSet
+	DoneCount            int
+	durableDone          TaskSet
+	chunkVersions        map[string]uint64 // versions of the written chunks of the done set, by key
+	dirtyChunks          map[int]bool      // chunks with completions that are not written yet
+	doneSetWritten       bool              // its done set under u/s/ is written
+	doneSetRequested     bool              // the write of its done set under u/s/ was requested
+	chunkWriteInFlight   bool
+	finalizing           bool
+	Assigned             map[int]Assignment
+	nextTaskHint         int    // no task below it is waiting
+	GuardClass           string // a class of the job, for the owner's guard
+	TypeSet              map[string]bool
+	PlacementKey         string // equal for jobs whose tasks may run on the same machines
 
 	Active   bool // this node owns the job's classes
-	Prepared bool // part 0 is written: tasks may be launched
-	Frozen   bool // launched by an earlier owner, whereabouts not yet known
-	Started  bool // a task of it was seen running, or done
+	Prepared bool // its done set is written: tasks may be launched
+	Frozen   bool // launched by an earlier owner, and the machines of its tasks are not all known yet
+	Started  bool // a report showed a task of it running or done
 
-	GangRun GangRun // of a gang: the attempt under way
+	GangRun GangRun // for a gang: the current attempt
 
-	// Failures, for telling a faulty job from a faulty machine.
-	FailedOn  map[string]bool
-	Suspect   bool // an earlier owner took the job for faulty
-	Succeeded bool
-	Backoff   time.Duration
-	NotBefore time.Duration
+	// Failures, to distinguish a faulty job from a faulty machine.
+	FailedOn     map[string]bool
+	MarkedFaulty bool // an earlier owner considered the job faulty
+	Succeeded    bool
+	Backoff      time.Duration
+	NotBefore    time.Duration
 
-	displayDone, displayRunning int // counts told by the owner, for display
+	displayDone, displayRunning int // counts reported by the owner, for display
 }
 
-// GangRun is one attempt of a gang, as its owner follows it. All its tasks have one
+// GangRun is the owner's record of one attempt of a gang. All tasks of the gang have the same
 // attempt number.
 type GangRun struct {
-	Attempt      uint64          // 0: none is under way
-	Started      bool            // a task of it was seen running: none can be replaced any more
-	Ending       bool            // it has failed: all that is left of it must go before the next
-	StoppedAt    time.Duration   // since when all were told to save and stop; 0: not
-	LeftMachines map[string]bool // machines that a task of it has left
+	Attempt      uint64          // 0: no attempt is in progress
+	Started      bool            // a report showed a task of it running: no task can be replaced any more
+	Ending       bool            // it has failed: all its tasks must be gone before the next attempt
+	StoppedAt    time.Duration   // when all tasks were ordered to save and stop; 0: not ordered
+	LeftMachines map[string]bool // machines that a task of this attempt has left
 }
 
-// Running counts the tasks that run.
+// Running returns the number of tasks that run or save their state.
 func (j *Job) Running() int {
-	n := 0
-	for _, p := range j.Assigned {
-		if p.State >= Running {
-			n++
+	count := 0
+	for _, assignment := range j.Assigned {
+		if assignment.State >= Running {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// Faulty tells whether the job's own tasks seem to be at fault.
+// Faulty reports whether the failures of the job's tasks are attributed to the job itself, and not
+// to the machines.
 func (j *Job) Faulty() bool {
-	failed := len(j.FailedOn) >= limits.BadJobMachines || j.Suspect && j.DoneCount == 0
+	failed := len(j.FailedOn) >= limits.BadJobMachines || j.MarkedFaulty && j.DoneCount == 0
 	return failed && !j.Succeeded
 }
 
-// Waiting counts the tasks that neither are done nor have a place.
+// Waiting returns the number of tasks that are neither done nor assigned.
 func (j *Job) Waiting() int { return j.Tasks - j.DoneCount - len(j.Assigned) }
 
-// AssignedTasks lists the tasks that have a place, in order.
+// AssignedTasks returns the assigned tasks in ascending order.
 func (j *Job) AssignedTasks() []int { return slices.Sorted(maps.Keys(j.Assigned)) }
 
 // NextTask returns the lowest waiting task, or -1.
 func (j *Job) NextTask() int {
-	for ; j.nextScan < j.Tasks; j.nextScan++ {
-		if j.Done.Has(j.nextScan) {
+	for ; j.nextTaskHint < j.Tasks; j.nextTaskHint++ {
+		if j.Done.Has(j.nextTaskHint) {
 			continue
 		}
-		if _, ok := j.Assigned[j.nextScan]; !ok {
-			return j.nextScan
+		if _, ok := j.Assigned[j.nextTaskHint]; !ok {
+			return j.nextTaskHint
 		}
 	}
 	return -1
 }
 
-// Assign puts a task on a machine.
-func (j *Job) Assign(task int, p Assignment) { j.Assigned[task] = p }
+// Assign records the assignment of a task.
+func (j *Job) Assign(task int, assignment Assignment) { j.Assigned[task] = assignment }
 
-// Unassign takes a task's place away: it waits again unless it is done.
+// Unassign removes the assignment of a task. The task waits again unless it is done.
 func (j *Job) Unassign(task int) {
 	delete(j.Assigned, task)
-	if task < j.nextScan {
-		j.nextScan = task
+	if task < j.nextTaskHint {
+		j.nextTaskHint = task
 	}
 }
 
@@ -146,30 +149,31 @@
 	if task < 0 || task >= j.Tasks || j.Done.Has(task) {
 		return
 	}
-	j.Done.Set(task)
+	j.Done.Add(task)
 	j.DoneCount++
 	j.Started = true
-	j.dirty[task/limits.ChunkTasks] = true
+	j.dirtyChunks[task/limits.ChunkTasks] = true
 }
 
-// IsDurable tells whether a task's completion is in the state service.
-func (j *Job) IsDurable(task int) bool { return j.durable.Has(task) }
+// IsDurable reports whether a task's completion is stored in the state service.
+func (j *Job) IsDurable(task int) bool { return j.durableDone.Has(task) }
 
-// TaskID joins a job's id and a task number; SplitTask takes them apart.
+// TaskID returns the ID of a task of a job. SplitTaskID is its inverse.
 func TaskID(job string, task int) string { return job + "/" + strconv.Itoa(task) }
 
-// SplitTask takes a task's id apart; task is -1 if it is malformed.
-func SplitTask(id string) (job string, task int) {
-	job, num, ok := strings.Cut(id, "/")
-	n, err := strconv.Atoi(num)
-	if !ok || err != nil || n < 0 || n >= limits.MaxTasks {
+// SplitTaskID splits a task ID into the job's ID and the task number, which is -1 if the task ID is
+// malformed.
+func SplitTaskID(id string) (job string, task int) {
+	job, text, ok := strings.Cut(id, "/")
+	number, err := strconv.Atoi(text)
+	if !ok || err != nil || number < 0 || number >= limits.MaxTasks {
 		return id, -1
 	}
-	return job, n
+	return job, number
 }
 
-// Launched tells whether any owner may have launched tasks of the job.
-func (j *Job) Launched() bool { return j.launched || len(j.parts) > 0 }
+// MayHaveLaunched reports whether any owner may have launched tasks of the job.
+func (j *Job) MayHaveLaunched() bool { return j.doneSetWritten || len(j.chunkVersions) > 0 }
 
-// isPacked tells whether the job's done set goes with those of others.
+// isPacked reports whether the job's done set is small enough to share a key with other jobs.
 func (j *Job) isPacked() bool { return j.Tasks <= limits.PackedTasks }
--- a/internal/jobs/lookups.go
+++ b/internal/jobs/lookups.go
@@ -8,131 +8,134 @@
 	"umberpaddle/internal/wire"
 )
 
-// lookup is a question whether a job is final, or exists at all.
+// lookup is a user's query for the state of a job, or a request to cancel it, for which the state
+// service must be read.
 type lookup struct {
 	*waiter
 	cancel bool
 }
 
-// Query answers with a state that is no older than the question.
+// Query answers with a state of the job that is no older than the request.
 func (r *Registry) Query(now time.Duration, id string, answer func(Answer)) {
 	r.now = max(r.now, now)
-	r.lookUp(&lookup{waiter: r.newWaiter(id, limits.PollWait, answer)})
+	r.startLookup(&lookup{waiter: r.newWaiter(id, limits.PollWait, answer)})
 }
 
-func (r *Registry) lookUp(a *lookup) {
-	if f, ok := r.finals[a.job]; ok {
-		a.answer(finalAnswer(a.job, f))
+// startLookup answers a request from the cache of final states, refuses it, or queues it.
+func (r *Registry) startLookup(request *lookup) {
+	if final, ok := r.finals[request.jobID]; ok {
+		request.answer(finalAnswer(request.jobID, final))
 		return
 	}
 	if r.store.Unreachable() {
-		a.answer(RetryLater())
+		request.answer(RetryLater())
 		return
 	}
-	if r.waiting >= 2*limits.MaxWaiting {
-		a.answer(Answer{Status: 429, Body: wire.ErrorBody{Error: "too many requests wait"}, RetryAfter: limits.RetryAfterS})
+	if r.waitingRequests >= 2*limits.MaxWaiting {
+		request.answer(Answer{Status: 429, Body: wire.ErrorBody{Error: "too many requests wait"}, RetryAfter: limits.RetryAfterS})
 		return
 	}
-	r.waiting++
-	reply := a.reply
-	a.reply = func(x Answer) {
-		r.waiting--
-		reply(x)
+	r.waitingRequests++
+	reply := request.reply
+	request.reply = func(answer Answer) {
+		r.waitingRequests--
+		reply(answer)
 	}
-	r.lookups = append(r.lookups, a)
-	r.openLookups = append(r.openLookups, a)
+	r.queuedLookups = append(r.queuedLookups, request)
+	r.unansweredLookups = append(r.unansweredLookups, request)
 }
 
-// expireLookups answers the questions whose time is up, whether they wait or are under
-// way: guards against users who hang until their own limit because one request
-// to the state service got no answer.
+// expireLookups answers the lookups whose deadline has passed, whether queued or in flight.
+// Otherwise users would wait until their own timeout whenever a request to the state service got
+// no answer.
 func (r *Registry) expireLookups() {
-	kept := r.openLookups[:0]
-	for _, a := range r.openLookups {
-		if !a.answered && r.now >= a.until {
-			a.answer(RetryLater())
+	kept := r.unansweredLookups[:0]
+	for _, request := range r.unansweredLookups {
+		if !request.answered && r.now >= request.deadline {
+			request.answer(RetryLater())
 		}
-		if !a.answered {
-			kept = append(kept, a)
+		if !request.answered {
+			kept = append(kept, request)
 		}
 	}
-	clear(r.openLookups[len(kept):])
-	r.openLookups = kept
+	clear(r.unansweredLookups[len(kept):])
+	r.unansweredLookups = kept
 }
 
-// sendLookups compares the versions of many jobs' keys in one transaction that
-// changes nothing: an absent final state proves that the job was not over then,
-// and absent both keys that it did not exist.
+// sendLookups checks the versions of many jobs' keys in one transaction that writes nothing. If
+// the final state is absent, the job had not ended at that time; if the job's record is absent
+// too, the job did not exist.
 func (r *Registry) sendLookups() {
-	if r.lookupInFlight || len(r.lookups) == 0 {
+	if r.lookupInFlight || len(r.queuedLookups) == 0 {
 		return
 	}
-	group, t := r.nextLookups()
+	group, txn := r.nextLookups()
 	if len(group) == 0 {
 		return
 	}
 	r.lookupInFlight = true
-	r.store.Txn(statestore.Query, limits.PollWait, t, func(reply statestore.Reply) {
+	r.store.Txn(statestore.Query, limits.PollWait, txn, func(reply statestore.Reply) {
 		r.lookupInFlight = false
-		var tr wire.TxnReply
-		if (reply.Status != statestore.OK && reply.Status != statestore.Conflict) || wire.Decode(reply.Body, &tr) != nil {
-			for _, a := range group {
-				a.answer(RetryLater())
+		var txnReply wire.TxnReply
+		if (reply.Status != statestore.OK && reply.Status != statestore.Conflict) || wire.Decode(reply.Body, &txnReply) != nil {
+			for _, request := range group {
+				request.answer(RetryLater())
 			}
 			return
 		}
-		read := reading{reply.Call}
+		read := stateRead{reply.Call}
 		asked := map[string]bool{}
-		for _, g := range t.Guards {
-			asked[g.Key] = true
+		for _, guard := range txn.Guards {
+			asked[guard.Key] = true
 		}
-		failed := failedKeys(tr)
-		for _, a := range group {
+		failed := failedKeys(txnReply)
+		for _, request := range group {
 			switch {
-			case failed[keyFinal+a.job]:
-				r.readFinal(a)
-			case asked[keyJob+a.job] && !failed[keyJob+a.job]:
-				r.answerFrom(read, a.waiter, Answer{Status: 404, Body: wire.ErrorBody{Error: "no such job"}})
-			case a.cancel:
-				r.readOpen(a)
+			case failed[keyFinal+request.jobID]:
+				r.answerWithFinal(request)
+			case asked[keyJob+request.jobID] && !failed[keyJob+request.jobID]:
+				r.answerFromRead(read, request.waiter, Answer{Status: 404, Body: wire.ErrorBody{Error: "no such job"}})
+			case request.cancel:
+				r.readVersionAndCancel(request)
 			default:
-				r.answerFrom(read, a.waiter, stateAnswer(r.currentStatus(a.job)))
+				r.answerFromRead(read, request.waiter, statusAnswer(r.currentStatus(request.jobID)))
 			}
 		}
 	})
 }
 
-// nextLookups takes as many waiting questions as one transaction can answer. Cancellations of
-// jobs that are known go out on their own.
-func (r *Registry) nextLookups() (group []*lookup, t wire.Txn) {
-	for len(r.lookups) > 0 && len(t.Guards)+2 <= r.store.TxnGuards {
-		a := r.lookups[0]
-		r.lookups = r.lookups[1:]
-		if a.answered {
+// nextLookups takes as many queued lookups as one transaction can answer. Cancellations of open
+// jobs are sent at once, each in its own transaction.
+func (r *Registry) nextLookups() (group []*lookup, txn wire.Txn) {
+	for len(r.queuedLookups) > 0 && len(txn.Guards)+2 <= r.store.TxnGuards {
+		request := r.queuedLookups[0]
+		r.queuedLookups = r.queuedLookups[1:]
+		if request.answered {
 			continue
 		}
-		j := r.Open[a.job]
-		if a.cancel && j != nil {
-			r.cancel(a, j.version)
+		j := r.Open[request.jobID]
+		if request.cancel && j != nil {
+			r.writeCancellation(request, j.version)
 			continue
 		}
-		t.Guards = append(t.Guards, wire.Guard{Key: keyFinal + a.job})
+		txn.Guards = append(txn.Guards, wire.Guard{Key: keyFinal + request.jobID})
 		if j == nil {
-			t.Guards = append(t.Guards, wire.Guard{Key: keyJob + a.job})
+			txn.Guards = append(txn.Guards, wire.Guard{Key: keyJob + request.jobID})
 		}
-		group = append(group, a)
+		group = append(group, request)
 	}
-	return group, t
+	return group, txn
 }
 
-func (r *Registry) readFinal(a *lookup) {
-	r.store.Get(statestore.User, limits.PollWait, keyFinal+a.job, func(reply statestore.Reply) {
-		f, ok := decodeFinal(reply)
+// answerWithFinal reads the final state of a job and answers with it.
+func (r *Registry) answerWithFinal(request *lookup) {
+	r.store.Get(statestore.User, limits.PollWait, keyFinal+request.jobID, func(reply statestore.Reply) {
+		final, ok := decodeFinal(reply)
 		if !ok {
-			a.answer(RetryLater())
+			request.answer(RetryLater())
 			return
 		}
-		r.cacheFinal(a.job, f)
-		a.answer(finalAnswer(a.job, f))
+		r.cacheFinal(request.jobID, final)
+		request.answer(finalAnswer(request.jobID, final))
 	})
 }
--- a/internal/jobs/registry.go
+++ b/internal/jobs/registry.go
@@ -1,14 +1,18 @@
-// Package jobs keeps the unfinished jobs, answers users, and writes what must
-// outlive a process: the job before its 201, a cancellation before its 200, a
-// completion before it is told.
+// Package jobs keeps the unfinished jobs, answers user requests about jobs, and writes to the
+// state service what must survive a restart: a job before its 201 answer, a cancellation before
+// its 200 answer, and a completion before anyone is informed of it.
 //
-// Keys: u/o/ID is the job, never rewritten; it goes when the job is final and
-// none of its tasks is left. u/c/ID marks a cancelled job for the owners. The
-// done sets of jobs with few tasks share the keys u/s/CLASS/N; u/q/ID/K holds
-// part K of a larger one, and u/p/ID/K a part twice as large, of versions that know no
-// other. A job's record, or part 0, is written before its first
-// launch, so a job without it has never run. fin/ID is the final state, kept for
-// ever.
+// Keys in the state service:
+//   - u/o/ID is the job. It is never rewritten, and is removed when the job is final and has no
+//     tasks left.
+//   - u/c/ID marks a cancelled job for the owners.
+//   - u/s/CLASS/N holds the done sets of several jobs with few tasks.
+//   - u/q/ID/K holds chunk K of the done set of a larger job. u/p/ID/K holds a chunk twice as
+//     large, for versions that read only that size.
+//   - fin/ID is the final state. It is never removed.
+//
+// The done set of a small job, or chunk 0 of a larger one, is written before the job's first
+// launch, so a job without it has never run.
 package jobs
 
 import (
@@ -26,189 +30,191 @@
 )
 
 const (
-	keyJob       = statestore.Root + "o/"
-	keyCancelled = statestore.Root + "c/"
-	keyLargePart = statestore.Root + "p/"
-	keyPart      = statestore.Root + "q/"
-	keyDoneSets  = statestore.Root + "s/"
-	keyFinal     = "fin/"
+	keyJob        = statestore.Root + "o/"
+	keyCancelled  = statestore.Root + "c/"
+	keyLargeChunk = statestore.Root + "p/"
+	keyChunk      = statestore.Root + "q/"
+	keyDoneSets   = statestore.Root + "s/"
+	keyFinal      = "fin/"
 )
 
-// Registry is the slice's state.
+// Registry holds the unfinished jobs, the user requests about jobs, and the writes in flight.
 type Registry struct {
 	store    *statestore.Store
 	log      func(level slog.Level, msg string, args ...any)
 	now      time.Duration
-	unixTime float64 // time of day, for the log
+	unixTime float64 // time of day in Unix seconds, for the log
 	Open     map[string]*Job
-	// cancelled are the jobs in Open that are cancelled.
+	// cancelled holds the jobs in Open that are cancelled.
 	cancelled map[string]*Job
-	// WithheldAnswers counts answers that were not given because they were older than their
-	// requests: each is a fault of this program.
+	// WithheldAnswers counts answers that were not sent because the state was read before the
+	// request arrived. Each one is a bug in this program.
 	WithheldAnswers int
 
+	// finals caches final states; finalOrder lists their jobs, oldest entry first.
 	finals     map[string]finalState
 	finalOrder []string
-	// confirmedCancels are cancelled jobs that this node tells users of, and since when; news are
-	// those that owners were not told of yet.
-	confirmedCancels map[string]time.Duration
-	newCancels       []string
-	// cancellationsKnown is up to when this node knew of every cancellation that users were told
-	// before it took in what is being taken in.
-	cancellationsKnown time.Duration
+	// confirmedCancellations holds the cancelled jobs whose cancellation this node confirms to
+	// users, with the time of the first confirmation. newCancellations lists those that have not
+	// been sent to the owners yet.
+	confirmedCancellations map[string]time.Duration
+	newCancellations       []string
+	// cancellationsKnownThrough is the time up to which this node knew of every cancellation
+	// confirmed to users, before it received the input that is being processed.
+	cancellationsKnownThrough time.Duration
 
-	lookups         []*lookup
-	openLookups     []*lookup // questions not answered yet, waiting or under way
-	lookupInFlight  bool
-	submissions     []*submission
-	waiting         int
-	submissionsByID map[string]*submission
-	flushAt         map[string]time.Duration
-	nextFlush       time.Duration
-	nextScan        time.Duration
-	orphanParts     map[string]bool // keys of done sets without a job
-	removingOrphans bool
-	doneSets        *statestore.RecordTable
-	// finalized are jobs that are over and whose records go with the next clean-up.
+	queuedLookups     []*lookup
+	unansweredLookups []*lookup // not answered yet, whether queued or in flight
+	lookupInFlight    bool
+	queuedSubmissions []*submission
+	waitingRequests   int
+	submissionsByID   map[string]*submission
+	nextWriteAt       map[string]time.Duration // earliest time of a job's next write
+	nextFlush         time.Duration
+	nextScan          time.Duration
+	orphanChunks      map[string]bool // keys of done-set chunks without a job
+	removingOrphans   bool
+	doneSets          *statestore.RecordTable
+	// finalized holds jobs whose final state is written and whose records await removal.
 	finalized         map[string]*Job
 	removingFinalized bool
-	orphanRecords     map[string]bool // records without a job
+	orphanDoneSets    map[string]bool // IDs of done sets under u/s/ without a job
 
-	// guard gives the condition under which this node's writes as owner hold.
-	guard func(class string) wire.Guard
-	// format is the form of records that every node reads.
-	format func() int
+	// ownerGuard returns the condition under which this node may write as owner of a class.
+	ownerGuard func(class string) wire.Guard
+	// recordFormat returns the newest record format that every node can read.
+	recordFormat func() int
 }
 
-// New makes an empty registry.
+// New returns an empty registry.
 func New(store *statestore.Store, guard func(class string) wire.Guard, format func() int, log func(slog.Level, string, ...any)) *Registry {
-	r := &Registry{store: store, guard: guard, format: format, log: log, Open: map[string]*Job{}, cancelled: map[string]*Job{}, finals: map[string]finalState{}, confirmedCancels: map[string]time.Duration{}, submissionsByID: map[string]*submission{},
-		cancellationsKnown: ToldLongAgo, flushAt: map[string]time.Duration{}, orphanParts: map[string]bool{}, orphanRecords: map[string]bool{}, finalized: map[string]*Job{}}
-	r.doneSets = statestore.NewRecordTable(store, keyDoneSets, guard, r.applyDone)
+	r := &Registry{store: store, ownerGuard: guard, recordFormat: format, log: log, Open: map[string]*Job{}, cancelled: map[string]*Job{}, finals: map[string]finalState{}, confirmedCancellations: map[string]time.Duration{}, submissionsByID: map[string]*submission{},
+		cancellationsKnownThrough: ConfirmedAtAnyTime, nextWriteAt: map[string]time.Duration{}, orphanChunks: map[string]bool{}, orphanDoneSets: map[string]bool{}, finalized: map[string]*Job{}}
+	r.doneSets = statestore.NewRecordTable(store, keyDoneSets, guard, r.applyDoneSet)
 	return r
 }
 
-// Apply follows a change of the mirror.
-func (r *Registry) Apply(c statestore.Change) {
-	r.doneSets.Apply(c)
+// Apply updates the registry after a change of the mirror.
+func (r *Registry) Apply(change statestore.Change) {
+	r.doneSets.Apply(change)
 	switch {
-	case strings.HasPrefix(c.Key, keyJob):
-		r.applyJob(c.Key[len(keyJob):], c)
-	case strings.HasPrefix(c.Key, keyCancelled):
-		if !c.Removed {
-			r.markCancelled(c.Key[len(keyCancelled):])
+	case strings.HasPrefix(change.Key, keyJob):
+		r.applyJob(change.Key[len(keyJob):], change)
+	case strings.HasPrefix(change.Key, keyCancelled):
+		if !change.Removed {
+			r.markCancelled(change.Key[len(keyCancelled):])
 		}
-	case strings.HasPrefix(c.Key, keyLargePart):
-		r.applyPart(c, limits.OldChunkTasks)
-	case strings.HasPrefix(c.Key, keyPart):
-		r.applyPart(c, limits.ChunkTasks)
+	case strings.HasPrefix(change.Key, keyLargeChunk):
+		r.applyChunk(change, limits.OldChunkTasks)
+	case strings.HasPrefix(change.Key, keyChunk):
+		r.applyChunk(change, limits.ChunkTasks)
 	}
 }
 
-// applyJob follows a change of a job's record.
-func (r *Registry) applyJob(id string, c statestore.Change) {
-	if c.Removed {
-		r.jobRemoved(id)
+// applyJob applies a change of a job's record.
+func (r *Registry) applyJob(id string, change statestore.Change) {
+	if change.Removed {
+		r.applyJobRemoval(id)
 		return
 	}
 	spec := &wire.Job{}
-	if err := wire.Decode(c.Entry.Value, spec); err != nil || spec.Tasks < 1 || spec.Tasks > limits.MaxTasks {
+	if err := wire.Decode(change.Entry.Value, spec); err != nil || spec.Tasks < 1 || spec.Tasks > limits.MaxTasks {
 		r.log(slog.LevelError, "unreadable job record", "job", id)
 		return
 	}
 	if r.Open[id] != nil || r.finalized[id] != nil {
 		return
 	}
-	j := newJob(spec, c.Entry.Version)
+	j := newJob(spec, change.Entry.Version)
 	r.Open[id] = j
-	if v, ok := r.doneSets.Stored(id); ok {
-		r.applyDone(id, "", v, false)
+	if stored, ok := r.doneSets.Stored(id); ok {
+		r.applyDoneSet(id, "", stored, false)
 	}
-	// Keys sort so that c/ comes before o/: a mark read earlier counts now. Or users or a
-	// peer told of the cancellation before the record came.
+	// Keys under c/ sort before those under o/, so the mark may have been read before the record.
+	// A user request or a peer may also have reported the cancellation before the record arrived.
 	_, marked := r.store.Mirror.Get(keyCancelled + id)
 	if marked || r.finals[id].Status == wire.StatusCancelled {
-		// This node may have known for long.
-		r.setCancelled(j, ToldLongAgo)
+		// This node may have known of the cancellation for a long time.
+		r.setCancelled(j, ConfirmedAtAnyTime)
 	}
 }
 
-// newJob makes the job of a record.
+// newJob returns the job described by a record.
 func newJob(spec *wire.Job, version uint64) *Job {
 	j := &Job{
-		Job:      spec,
-		version:  version,
-		Done:     newBits(spec.Tasks),
-		durable:  newBits(spec.Tasks),
-		parts:    map[string]uint64{},
-		dirty:    map[int]bool{},
-		Assigned: map[int]Assignment{},
-		FailedOn: map[string]bool{},
-		TypeSet:  make(map[string]bool, len(spec.Types)),
-		Shape:    strings.Join(spec.Types, " ") + "|" + spec.Zone + "|" + strconv.FormatBool(spec.Spot),
+		Job:           spec,
+		version:       version,
+		Done:          newTaskSet(spec.Tasks),
+		durableDone:   newTaskSet(spec.Tasks),
+		chunkVersions: map[string]uint64{},
+		dirtyChunks:   map[int]bool{},
+		Assigned:      map[int]Assignment{},
+		FailedOn:      map[string]bool{},
+		TypeSet:       make(map[string]bool, len(spec.Types)),
+		PlacementKey:  strings.Join(spec.Types, " ") + "|" + spec.Zone + "|" + strconv.FormatBool(spec.Spot),
 	}
 	if len(spec.Types) > 0 {
 		j.GuardClass = spec.Types[0]
 	}
-	for _, t := range spec.Types {
-		j.TypeSet[t] = true
+	for _, class := range spec.Types {
+		j.TypeSet[class] = true
 	}
 	return j
 }
 
-// jobRemoved follows the removal of a job's record.
-func (r *Registry) jobRemoved(id string) {
+// applyJobRemoval applies the removal of a job's record.
+func (r *Registry) applyJobRemoval(id string) {
 	if j := r.Open[id]; j != nil {
-		// Parts that went in the same transaction follow at once.
-		for key := range j.parts {
-			r.markOrphan(key)
+		// For chunks removed in the same transaction, the change that clears the mark follows at once.
+		for key := range j.chunkVersions {
+			r.markOrphanChunk(key)
 		}
 	}
-	r.forget(id)
+	r.dropOpen(id)
 	if j := r.finalized[id]; j != nil {
 		delete(r.finalized, id)
-		if j.launched {
-			r.orphanRecords[id] = true
+		if j.doneSetWritten {
+			r.orphanDoneSets[id] = true
 		}
 	}
 }
 
-// applyPart follows a part, of so many tasks, of a large job's done set.
-func (r *Registry) applyPart(c statestore.Change, tasks int) {
-	id, part, ok := strings.Cut(c.Key[len(keyPart):], "/") // both prefixes have one length
-	k, err := strconv.Atoi(part)
+// applyChunk applies a change of one chunk of a large job's done set.
+func (r *Registry) applyChunk(change statestore.Change, chunkTasks int) {
+	id, indexText, ok := strings.Cut(change.Key[len(keyChunk):], "/") // keyLargeChunk has the same length
+	index, err := strconv.Atoi(indexText)
 	j := r.Open[id]
-	if c.Removed {
-		delete(r.orphanParts, c.Key)
+	if change.Removed {
+		delete(r.orphanChunks, change.Key)
 	} else if j == nil {
-		r.orphanParts[c.Key] = true
+		r.orphanChunks[change.Key] = true
 	}
-	if !ok || err != nil || j == nil || k < 0 || k*tasks >= j.Tasks {
+	if !ok || err != nil || j == nil || index < 0 || index*chunkTasks >= j.Tasks {
 		return
 	}
-	if c.Removed {
-		delete(j.parts, c.Key)
+	if change.Removed {
+		delete(j.chunkVersions, change.Key)
 		return
 	}
-	var p donePart
-	if wire.Decode(c.Entry.Value, &p) != nil {
+	var chunk doneSetChunk
+	if wire.Decode(change.Entry.Value, &chunk) != nil {
 		return
 	}
-	j.parts[c.Key] = c.Entry.Version
-	j.durable.merge(k, tasks, p.Done, j.Tasks)
-	j.DoneCount += len(j.Done.merge(k, tasks, p.Done, j.Tasks))
+	j.chunkVersions[change.Key] = change.Entry.Version
+	j.durableDone.mergeChunk(index, chunkTasks, chunk.Done, j.Tasks)
+	j.DoneCount += len(j.Done.mergeChunk(index, chunkTasks, chunk.Done, j.Tasks))
 }
 
-// Tick writes progress and completions of the jobs that this node owns, and
-// sends the waiting users' requests. may tells whether the owner may write;
-// gone whether no machine can hold tasks that have no known place.
-func (r *Registry) Tick(now time.Duration, unix float64, may bool, gone func(*Job) bool) {
-	r.unixTime = unix
+// Tick sends the queued user requests, and writes the progress and the completions of the jobs
+// that this node owns. mayWrite reports whether this node may write as owner. allTasksLocated
+// reports whether no machine can have tasks of a job that are not in its assignments.
+func (r *Registry) Tick(now time.Duration, unixTime float64, mayWrite bool, allTasksLocated func(*Job) bool) {
+	r.unixTime = unixTime
 	r.now = max(r.now, now)
 	r.expireLookups()
 	r.sendSubmissions()
 	r.sendLookups()
-	if !may || r.now < r.nextScan {
+	if !mayWrite || r.now < r.nextScan {
 		return
 	}
 	r.nextScan = r.now + limits.ScanInterval
@@ -220,30 +226,30 @@
 	r.removeFinalizedRecords()
 	for _, id := range r.sortedIDs() {
 		j := r.Open[id]
-		if j.Active && !j.closing && r.now >= r.flushAt[id] {
-			r.writeJob(j, flush, gone)
+		if j.Active && !j.finalizing && r.now >= r.nextWriteAt[id] {
+			r.writeJob(j, flush, allTasksLocated)
 		}
 	}
 	r.doneSets.Write()
 }
 
-// writeJob ends a job that is over, or, if it is time to flush, writes its progress.
-func (r *Registry) writeJob(j *Job, flush bool, gone func(*Job) bool) {
+// writeJob finalizes a job that has ended. Otherwise it writes the job's progress if flush is set.
+func (r *Registry) writeJob(j *Job, flush bool, allTasksLocated func(*Job) bool) {
 	switch {
 	case j.Cancelled:
-		if len(j.Assigned) == 0 && gone(j) && !j.writing {
+		if len(j.Assigned) == 0 && allTasksLocated(j) && !j.chunkWriteInFlight {
 			r.finalize(j, "")
 		}
 	case j.DoneCount == j.Tasks:
-		if !j.writing {
+		if !j.chunkWriteInFlight {
 			r.finalize(j, wire.StatusDone)
 		}
-	case !flush || len(j.dirty) == 0:
+	case !flush || len(j.dirtyChunks) == 0:
 	case j.isPacked():
-		clear(j.dirty)
-		r.doneSets.Set(j.GuardClass, j.ID, j.Done.chunk(0, limits.ChunkTasks), limits.ScanInterval)
-	case !j.writing:
-		r.writePart(j, slices.Min(slices.Collect(maps.Keys(j.dirty))), statestore.Progress)
+		clear(j.dirtyChunks)
+		r.doneSets.Set(j.GuardClass, j.ID, j.Done.encodeChunk(0, limits.ChunkTasks), limits.ScanInterval)
+	case !j.chunkWriteInFlight:
+		r.writeChunk(j, slices.Min(slices.Collect(maps.Keys(j.dirtyChunks))), statestore.Progress)
 	}
 }
 
@@ -256,7 +262,7 @@
 	return ids
 }
 
-// SetDisplayCounts records the counts that an owner tells, for display only.
+// SetDisplayCounts records the counts that an owner reported. They are only for display.
 func (r *Registry) SetDisplayCounts(id string, done, running int) {
 	if j := r.Open[id]; j != nil {
 		j.displayDone, j.displayRunning = done, running
@@ -264,19 +270,19 @@
 }
 
 func (r *Registry) currentStatus(id string) wire.JobStatus {
-	if f, ok := r.finals[id]; ok {
-		return wire.JobStatus{ID: id, Status: f.Status, Done: f.Done}
+	if final, ok := r.finals[id]; ok {
+		return wire.JobStatus{ID: id, Status: final.Status, Done: final.Done}
 	}
-	s := wire.JobStatus{ID: id, Status: wire.StatusPending}
+	status := wire.JobStatus{ID: id, Status: wire.StatusPending}
 	if j := r.Open[id]; j != nil {
 		if j.Active {
-			s.Done, s.Running = j.DoneCount, j.Running()
+			status.Done, status.Running = j.DoneCount, j.Running()
 		} else {
-			s.Done, s.Running = max(j.DoneCount, j.displayDone), j.displayRunning
+			status.Done, status.Running = max(j.DoneCount, j.displayDone), j.displayRunning
 		}
-		if s.Running > 0 {
-			s.Status = wire.StatusRunning
+		if status.Running > 0 {
+			status.Status = wire.StatusRunning
 		}
 	}
-	return s
+	return status
 }
--- a/internal/jobs/registry_test.go
+++ b/internal/jobs/registry_test.go
@@ -12,37 +12,37 @@
 	"umberpaddle/internal/wire"
 )
 
-func TestDoneSetsOfLargeJobsFitValues(t *testing.T) {
-	b := newBits(limits.MaxTasks)
+func TestDoneSetChunksFitValues(t *testing.T) {
+	set := newTaskSet(limits.MaxTasks)
 	for i := 0; i < limits.MaxTasks; i++ {
 		if i%3 != 0 {
-			b.Set(i)
+			set.Add(i)
 		}
 	}
-	for tasks, most := range map[int]int{limits.ChunkTasks: 1500, limits.OldChunkTasks: 3500} { // of 2048 and 4096
-		back := newBits(limits.MaxTasks)
+	for chunkTasks, maxBytes := range map[int]int{limits.ChunkTasks: 1500, limits.OldChunkTasks: 3500} { // a value holds 2048 or 4096 bytes
+		decoded := newTaskSet(limits.MaxTasks)
 		added := 0
-		for k := 0; k*tasks < limits.MaxTasks; k++ {
-			text := b.chunk(k, tasks)
-			if len(text) > most {
-				t.Errorf("part %d of %d tasks has %d bytes", k, tasks, len(text))
+		for index := 0; index*chunkTasks < limits.MaxTasks; index++ {
+			encoded := set.encodeChunk(index, chunkTasks)
+			if len(encoded) > maxBytes {
+				t.Errorf("chunk %d of %d tasks has %d bytes", index, chunkTasks, len(encoded))
 			}
-			added += len(back.merge(k, tasks, text, limits.MaxTasks))
-			if again := back.merge(k, tasks, text, limits.MaxTasks); len(again) != 0 {
-				t.Errorf("part %d added %d tasks twice", k, len(again))
+			added += len(decoded.mergeChunk(index, chunkTasks, encoded, limits.MaxTasks))
+			if addedAgain := decoded.mergeChunk(index, chunkTasks, encoded, limits.MaxTasks); len(addedAgain) != 0 {
+				t.Errorf("chunk %d added %d tasks twice", index, len(addedAgain))
 			}
 		}
-		if string(back) != string(b) || added != limits.MaxTasks*2/3 {
-			t.Errorf("%d tasks came back", added)
+		if string(decoded) != string(set) || added != limits.MaxTasks*2/3 {
+			t.Errorf("%d tasks were decoded", added)
 		}
 	}
-	if got := newBits(10).merge(0, limits.ChunkTasks, "//////8", 10); len(got) != 10 {
-		t.Errorf("bits beyond the job's tasks were taken: %v", got)
+	if got := newTaskSet(10).mergeChunk(0, limits.ChunkTasks, "//////8", 10); len(got) != 10 {
+		t.Errorf("tasks beyond the limit were added: %v", got)
 	}
 }
 
-// bench is a registry with a state service that answers as told.
-type bench struct {
+// harness is a registry with a simulated state service, whose replies each test supplies.
+type harness struct {
 	t        *testing.T
 	store    *statestore.Store
 	registry *Registry
@@ -51,252 +51,255 @@
 	gets     []statestore.Call
 }
 
-func newBench(t *testing.T) *bench {
-	s := statestore.New(1000, 1000, 8, 4)
+func newHarness(t *testing.T) *harness {
+	store := statestore.New(1000, 1000, 8, 4)
 	guard := func(string) wire.Guard { return wire.Guard{Key: "u/own/c", Version: 1} }
-	b := &bench{t: t, store: s, registry: New(s, guard, func() int { return limits.RecordFormat }, func(slog.Level, string, ...any) {}), now: time.Second}
-	b.tick() // reads the mirror
-	return b
+	h := &harness{t: t, store: store, registry: New(store, guard, func() int { return limits.RecordFormat }, func(slog.Level, string, ...any) {}), now: time.Second}
+	h.tick() // loads the mirror
+	return h
 }
 
-func (b *bench) pack(v any) []byte {
+func (h *harness) encode(v any) []byte {
 	raw, err := wire.Encode(v)
 	if err != nil {
-		b.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	return raw
 }
 
-// tick lets time pass; the mirror is empty, transactions are kept for the test.
-func (b *bench) tick() {
-	b.now += 100 * time.Millisecond
-	b.registry.Tick(b.now, 0, true, func(*Job) bool { return true })
-	for _, c := range b.store.Tick(b.now) {
+// tick advances the time by 100 ms. Reads for the mirror find no rows; transactions and reads of
+// single keys are kept for the test.
+func (h *harness) tick() {
+	h.now += 100 * time.Millisecond
+	h.registry.Tick(h.now, 0, true, func(*Job) bool { return true })
+	for _, call := range h.store.Tick(h.now) {
 		switch {
-		case strings.HasPrefix(c.Path, "/kv?"):
-			b.store.Reply(b.now, c.ID, 200, b.pack(map[string]any{"rows": []any{}, "ledger": 1}))
-		case c.Path == "/multi":
-			b.txns = append(b.txns, c)
-		case strings.HasPrefix(c.Path, "/kv/"):
-			b.gets = append(b.gets, c)
+		case strings.HasPrefix(call.Path, "/kv?"):
+			h.store.Reply(h.now, call.ID, 200, h.encode(map[string]any{"rows": []any{}, "ledger": 1}))
+		case call.Path == "/multi":
+			h.txns = append(h.txns, call)
+		case strings.HasPrefix(call.Path, "/kv/"):
+			h.gets = append(h.gets, call)
 		}
 	}
-	for _, ch := range b.store.Mirror.TakeChanges() {
-		b.registry.Apply(ch)
+	for _, change := range h.store.Mirror.TakeChanges() {
+		h.registry.Apply(change)
 	}
 }
 
-func (b *bench) open(id string, tasks int, version uint64) *Job {
-	b.store.Mirror.Put(keyJob+id, b.pack(&wire.Job{ID: id, Tasks: tasks, Types: []string{"c"}}), version)
-	b.tick()
-	b.txns = nil
-	return b.registry.Open[id]
+func (h *harness) openJob(id string, tasks int, version uint64) *Job {
+	h.store.Mirror.Put(keyJob+id, h.encode(&wire.Job{ID: id, Tasks: tasks, Types: []string{"c"}}), version)
+	h.tick()
+	h.txns = nil
+	return h.registry.Open[id]
 }
 
-func TestRepeatedSubmissionIsOneJob(t *testing.T) {
-	b := newBench(t)
-	b.tick()
+func TestRepeatedSubmissionCreatesOneJob(t *testing.T) {
+	h := newHarness(t)
+	h.tick()
 	var got []Answer
 	job := &wire.Job{ID: "job-1", Tasks: 1, Types: []string{"c"}}
 	for i := 0; i < 2; i++ {
-		b.registry.Submit(b.now, job, func(a Answer) { got = append(got, a) })
+		h.registry.Submit(h.now, job, func(answer Answer) { got = append(got, answer) })
 	}
-	b.tick()
-	if len(b.txns) != 1 {
-		t.Fatalf("%d transactions", len(b.txns))
+	h.tick()
+	if len(h.txns) != 1 {
+		t.Fatalf("%d transactions were sent, want 1", len(h.txns))
 	}
-	b.store.Reply(b.now, b.txns[0].ID, 200, b.pack(wire.TxnReply{Revision: 9}))
+	h.store.Reply(h.now, h.txns[0].ID, 200, h.encode(wire.TxnReply{Revision: 9}))
 	if len(got) != 2 || got[0].Status != 201 || got[1].Status != 200 {
 		t.Fatalf("answers %+v", got)
 	}
-	// No answer: the user is told to come back, and nothing is assumed.
-	b.txns, got = nil, nil
-	b.registry.Submit(b.now, &wire.Job{ID: "job-2", Tasks: 1}, func(a Answer) { got = append(got, a) })
-	b.tick()
-	b.store.Reply(b.now, b.txns[0].ID, 0, nil)
-	if len(got) != 1 || got[0].Status != 503 || got[0].RetryAfter == 0 || b.registry.Known("job-2") {
+	// Without a reply of the state service the user is asked to retry, and the job does not count
+	// as accepted.
+	h.txns, got = nil, nil
+	h.registry.Submit(h.now, &wire.Job{ID: "job-2", Tasks: 1}, func(answer Answer) { got = append(got, answer) })
+	h.tick()
+	h.store.Reply(h.now, h.txns[0].ID, 0, nil)
+	if len(got) != 1 || got[0].Status != 503 || got[0].RetryAfter == 0 || h.registry.IsAccepted("job-2") {
 		t.Fatalf("answers %+v", got)
 	}
 }
 
-func TestQueriesShareATransactionAndTellNoGuess(t *testing.T) {
-	b := newBench(t)
-	b.open("job-1", 2, 5)
+func TestQueriesShareTransactionAndDoNotGuess(t *testing.T) {
+	h := newHarness(t)
+	h.openJob("job-1", 2, 5)
 	got := map[string]Answer{}
 	for _, id := range []string{"job-1", "job-2", "job-3"} {
-		b.registry.Query(b.now, id, func(a Answer) { got[id] = a })
+		h.registry.Query(h.now, id, func(answer Answer) { got[id] = answer })
 	}
-	b.tick()
-	if len(b.txns) != 1 {
-		t.Fatalf("%d transactions", len(b.txns))
+	h.tick()
+	if len(h.txns) != 1 {
+		t.Fatalf("%d transactions were sent, want 1", len(h.txns))
 	}
-	txn := b.txns[0].Body.(wire.Txn)
+	txn := h.txns[0].Body.(wire.Txn)
 	if len(txn.Then) != 0 || len(txn.Guards) != 5 {
 		t.Errorf("%+v", txn)
 	}
-	// job-2 exists although the mirror doesn't know it yet; job-3 doesn't.
-	b.store.Reply(b.now, b.txns[0].ID, 409, b.pack(wire.TxnReply{Failed: []string{keyJob + "job-2"}}))
+	// job-2 exists although it is not in the mirror yet; job-3 does not exist.
+	h.store.Reply(h.now, h.txns[0].ID, 409, h.encode(wire.TxnReply{Failed: []string{keyJob + "job-2"}}))
 	for id, want := range map[string]int{"job-1": 200, "job-2": 200, "job-3": 404} {
 		if got[id].Status != want {
 			t.Errorf("%s: %d, want %d", id, got[id].Status, want)
 		}
 	}
-	b.txns = nil
-	b.registry.Query(b.now, "job-3", func(a Answer) { got["job-3"] = a })
-	b.tick()
-	b.store.Reply(b.now, b.txns[0].ID, 503, nil)
+	h.txns = nil
+	h.registry.Query(h.now, "job-3", func(answer Answer) { got["job-3"] = answer })
+	h.tick()
+	h.store.Reply(h.now, h.txns[0].ID, 503, nil)
 	if got["job-3"].Status != 503 {
 		t.Errorf("without the state service: %d", got["job-3"].Status)
 	}
 }
 
-// TestQuestionsAreAnsweredInTime: the state service is silent, and each user is
-// told to come back before its own limit of 2 s.
-func TestQuestionsAreAnsweredInTime(t *testing.T) {
-	b := newBench(t)
+// TestQueriesAreAnsweredInTime checks that each query is answered before the user's own timeout of
+// 2 s when the state service does not reply.
+func TestQueriesAreAnsweredInTime(t *testing.T) {
+	h := newHarness(t)
 	answered := map[string]time.Duration{}
 	began := map[string]time.Duration{}
 	for i := 0; i < 10; i++ {
 		id := fmt.Sprintf("job-%d", i)
-		began[id] = b.now
-		b.registry.Query(b.now, id, func(a Answer) {
-			if a.Status != 503 {
-				t.Errorf("%s: %d without an answer of the state service", id, a.Status)
+		began[id] = h.now
+		h.registry.Query(h.now, id, func(answer Answer) {
+			if answer.Status != 503 {
+				t.Errorf("%s: status %d without a reply of the state service", id, answer.Status)
 			}
-			answered[id] = b.now
+			answered[id] = h.now
 		})
 		for k := 0; k < 3; k++ {
-			b.tick()
+			h.tick()
 		}
 	}
 	for k := 0; k < 30; k++ {
-		b.tick()
+		h.tick()
 	}
 	for id, at := range began {
 		if took := answered[id] - at; answered[id] == 0 || took > 1900*time.Millisecond {
 			t.Errorf("%s was answered after %v", id, took)
 		}
 	}
-	if b.registry.waiting != 0 {
-		t.Errorf("%d requests still counted as waiting", b.registry.waiting)
+	if h.registry.waitingRequests != 0 {
+		t.Errorf("%d requests still counted as waiting", h.registry.waitingRequests)
 	}
 }
 
-func TestDoneIsTakenBackByACancellation(t *testing.T) {
-	b := newBench(t)
-	j := b.open("job-1", 1, 5)
+func TestCancellationOverridesCompletion(t *testing.T) {
+	h := newHarness(t)
+	j := h.openJob("job-1", 1, 5)
 	j.Active = true
 	j.MarkDone(0)
-	b.tick()
-	if len(b.txns) != 1 {
-		t.Fatalf("%d transactions", len(b.txns))
+	h.tick()
+	if len(h.txns) != 1 {
+		t.Fatalf("%d transactions were sent, want 1", len(h.txns))
 	}
-	txn := b.txns[0].Body.(wire.Txn)
+	txn := h.txns[0].Body.(wire.Txn)
 	if fmt.Sprint(txn.Guards) != "[{u/own/c 1} {u/o/job-1 5} {fin/job-1 0}]" {
 		t.Errorf("guards %v", txn.Guards)
 	}
-	b.store.Reply(b.now, b.txns[0].ID, 409, b.pack(wire.TxnReply{Failed: []string{keyFinal + "job-1"}}))
-	if b.registry.Open["job-1"] == nil {
-		t.Fatal("the job is gone although its completion was refused")
+	h.store.Reply(h.now, h.txns[0].ID, 409, h.encode(wire.TxnReply{Failed: []string{keyFinal + "job-1"}}))
+	if h.registry.Open["job-1"] == nil {
+		t.Fatal("the job was dropped although its completion was refused")
 	}
-	b.store.Mirror.Put(keyCancelled+"job-1", b.pack(true), 7)
-	b.tick()
-	b.txns = nil
-	for i := 0; i < 10 && len(b.txns) == 0; i++ {
-		b.tick()
+	h.store.Mirror.Put(keyCancelled+"job-1", h.encode(true), 7)
+	h.tick()
+	h.txns = nil
+	for i := 0; i < 10 && len(h.txns) == 0; i++ {
+		h.tick()
 	}
-	for _, op := range b.txns[0].Body.(wire.Txn).Then {
+	for _, op := range h.txns[0].Body.(wire.Txn).Then {
 		if op.Key != "" {
-			t.Errorf("a cancelled job is written as %+v", op)
+			t.Errorf("the removal of a cancelled job writes %+v", op)
 		}
 	}
 }
 
-// TestPartsWithoutAJobAreSwept guards against keys that pile up: a job of
-// 100,000 tasks has more parts than one transaction may remove.
-func TestPartsWithoutAJobAreSwept(t *testing.T) {
-	b := newBench(t)
-	b.open("job-1", limits.MaxTasks, 5)
+// TestChunksWithoutJobAreRemoved guards against chunks that stay in the state service after their
+// job: a job of 100,000 tasks has more chunks than one transaction may remove.
+func TestChunksWithoutJobAreRemoved(t *testing.T) {
+	h := newHarness(t)
+	h.openJob("job-1", limits.MaxTasks, 5)
 	for k := 0; k < 7; k++ {
-		b.store.Mirror.Put(fmt.Sprintf("%sjob-1/%d", keyLargePart, k), b.pack(donePart{}), uint64(6+k))
+		h.store.Mirror.Put(fmt.Sprintf("%sjob-1/%d", keyLargeChunk, k), h.encode(doneSetChunk{}), uint64(6+k))
 	}
-	b.tick()
-	b.registry.Apply(statestore.Change{Key: keyJob + "job-1", Removed: true})
+	h.tick()
+	h.registry.Apply(statestore.Change{Key: keyJob + "job-1", Removed: true})
 	removed := 0
 	for i := 0; i < 60 && removed < 7; i++ {
-		b.txns = nil
-		b.tick()
-		for _, c := range b.txns {
-			for _, op := range c.Body.(wire.Txn).Then {
-				if !strings.HasPrefix(op.Remove, keyLargePart+"job-1/") {
-					t.Errorf("unexpected %+v", op)
+		h.txns = nil
+		h.tick()
+		for _, call := range h.txns {
+			for _, op := range call.Body.(wire.Txn).Then {
+				if !strings.HasPrefix(op.Remove, keyLargeChunk+"job-1/") {
+					t.Errorf("unexpected operation %+v", op)
 				}
 				removed++
 			}
-			b.store.Reply(b.now, c.ID, 200, b.pack(wire.TxnReply{Revision: 99}))
+			h.store.Reply(h.now, call.ID, 200, h.encode(wire.TxnReply{Revision: 99}))
 		}
 	}
 	if removed != 7 {
-		t.Errorf("%d parts removed", removed)
+		t.Errorf("%d chunks were removed, want 7", removed)
 	}
 }
 
-// TestWhatCannotBeTakenIsSaidAtOnce: a state service that failed for a while, or a
-// budget used up for longer than a user should wait, is told without waiting.
-func TestWhatCannotBeTakenIsSaidAtOnce(t *testing.T) {
-	b := newBench(t)
-	submit := func(id string) (a Answer) {
-		b.registry.Submit(b.now, &wire.Job{ID: id, Tasks: 1}, func(x Answer) { a = x })
-		return a
-	}
-	b.store.SetShare(0.001, 0.001) // a change a second
+// TestOverloadIsReportedAtOnce checks that requests are refused without waiting when the state
+// service has been failing for a while, or when its write budget is used up for longer than a user
+// should wait.
+func TestOverloadIsReportedAtOnce(t *testing.T) {
+	h := newHarness(t)
+	submit := func(id string) (answer Answer) {
+		h.registry.Submit(h.now, &wire.Job{ID: id, Tasks: 1}, func(x Answer) { answer = x })
+		return answer
+	}
+	h.store.SetShare(0.001, 0.001) // one write per second
 	n := 0
 	for ; n < 1000; n++ {
-		a := submit(fmt.Sprintf("job-%d", n))
-		if a.Status == 429 && a.RetryAfter > 0 {
+		answer := submit(fmt.Sprintf("job-%d", n))
+		if answer.Status == 429 && answer.RetryAfter > 0 {
 			break
 		}
-		if a.Status != 0 {
-			t.Fatalf("answer %+v", a)
+		if answer.Status != 0 {
+			t.Fatalf("answer %+v", answer)
 		}
-		b.store.Txn(statestore.User, 0, wire.Txn{Then: []wire.Op{{Key: "x"}}}, func(statestore.Reply) {})
+		h.store.Txn(statestore.User, 0, wire.Txn{Then: []wire.Op{{Key: "x"}}}, func(statestore.Reply) {})
 	}
 	if n == 1000 {
-		t.Error("taken in for minutes")
+		t.Error("1000 submissions were accepted although the write budget is used up")
 	}
-	b = newBench(t)
-	b.store.LastOK, b.store.LastFail = b.now, b.now+limits.DownAfter+1
-	b.now = b.store.LastFail
-	if a := submit("job-2"); a.Status != 503 || a.RetryAfter == 0 {
-		t.Errorf("without the state service: %+v", a)
+	h = newHarness(t)
+	h.store.LastOK, h.store.LastFail = h.now, h.now+limits.DownAfter+1
+	h.now = h.store.LastFail
+	if answer := submit("job-2"); answer.Status != 503 || answer.RetryAfter == 0 {
+		t.Errorf("without the state service: %+v", answer)
 	}
 	asked := Answer{}
-	b.registry.Query(b.now, "job-3", func(a Answer) { asked = a })
+	h.registry.Query(h.now, "job-3", func(answer Answer) { asked = answer })
 	if asked.Status != 503 {
-		t.Errorf("a question without the state service: %+v", asked)
+		t.Errorf("a query without the state service: %+v", asked)
 	}
 }
 
-// TestRefusedRecordStandsAlone guards against one record that the state service refuses for
-// its size, and with it the submissions of all who share its transaction.
-func TestRefusedRecordStandsAlone(t *testing.T) {
-	b := newBench(t)
-	b.tick()
+// TestRefusedRecordFailsAlone guards against a record that the state service refuses for its size
+// and that makes the other submissions in its transaction fail too.
+func TestRefusedRecordFailsAlone(t *testing.T) {
+	h := newHarness(t)
+	h.tick()
 	got := map[string]int{}
 	for _, id := range []string{"job-1", "job-2", "job-3"} {
-		b.registry.Submit(b.now, &wire.Job{ID: id, Tasks: 1, Types: []string{"c"}}, func(a Answer) { got[id] = a.Status })
+		h.registry.Submit(h.now, &wire.Job{ID: id, Tasks: 1, Types: []string{"c"}}, func(answer Answer) { got[id] = answer.Status })
 	}
 	for range 5 {
-		b.txns = nil
-		b.tick()
-		for _, call := range b.txns {
+		h.txns = nil
+		h.tick()
+		for _, call := range h.txns {
 			status := 200
 			for _, op := range call.Body.(wire.Txn).Then {
 				if op.Key == keyJob+"job-2" {
 					status = 400
 				}
 			}
-			b.store.Reply(b.now, call.ID, status, b.pack(wire.TxnReply{Revision: 9}))
+			h.store.Reply(h.now, call.ID, status, h.encode(wire.TxnReply{Revision: 9}))
 		}
 	}
 	if got["job-1"] != 201 || got["job-3"] != 201 || got["job-2"] != 503 {
--- a/internal/jobs/stale_answers_test.go
+++ b/internal/jobs/stale_answers_test.go
@@ -10,63 +10,63 @@
 	"umberpaddle/internal/wire"
 )
 
-// submissionUnderWay is a registry with one submission whose transaction has left. Answers of
-// the state service are slow: the tests give them after more requests have come.
-func submissionUnderWay(t *testing.T, id string) (b *bench, commit statestore.Call, answers *[]Answer) {
+// newHarnessWithSubmission returns a harness with one submission whose transaction was sent. The
+// state service is slow to answer: the tests supply its reply after more requests have arrived.
+func newHarnessWithSubmission(t *testing.T, id string) (h *harness, commit statestore.Call, answers *[]Answer) {
 	t.Helper()
-	b = newBench(t)
-	b.tick()
+	h = newHarness(t)
+	h.tick()
 	answers = &[]Answer{}
-	b.submit(id, answers)
-	b.tick()
-	return b, b.takeTxn(), answers
+	h.submit(id, answers)
+	h.tick()
+	return h, h.takeTxn(), answers
 }
 
-func (b *bench) submit(id string, answers *[]Answer) {
+func (h *harness) submit(id string, answers *[]Answer) {
 	job := &wire.Job{ID: id, Tasks: 1, Types: []string{"c"}}
-	b.registry.Submit(b.now, job, func(a Answer) { *answers = append(*answers, a) })
+	h.registry.Submit(h.now, job, func(a Answer) { *answers = append(*answers, a) })
 }
 
-// takeTxn returns the only transaction that has left since the last call.
-func (b *bench) takeTxn() statestore.Call {
-	b.t.Helper()
-	if len(b.txns) != 1 {
-		b.t.Fatalf("%d transactions have left, want 1", len(b.txns))
+// takeTxn returns the only transaction sent since the last call.
+func (h *harness) takeTxn() statestore.Call {
+	h.t.Helper()
+	if len(h.txns) != 1 {
+		h.t.Fatalf("%d transactions were sent, want 1", len(h.txns))
 	}
-	call := b.txns[0]
-	b.txns = nil
+	call := h.txns[0]
+	h.txns = nil
 	return call
 }
 
-// replyFinal answers the reading of a job's final state.
-func (b *bench) replyFinal(state wire.JobState) {
-	b.t.Helper()
-	if len(b.gets) != 1 {
-		b.t.Fatalf("%d keys are read, want 1", len(b.gets))
+// replyFinal replies to the read of a job's final state.
+func (h *harness) replyFinal(state wire.JobState) {
+	h.t.Helper()
+	if len(h.gets) != 1 {
+		h.t.Fatalf("%d reads of keys were sent, want 1", len(h.gets))
 	}
-	call := b.gets[0]
-	b.gets = nil
-	b.store.Reply(b.now, call.ID, 200, b.pack(map[string]any{"path": "x", "v": finalState{Status: state}, "stamp": 9}))
+	call := h.gets[0]
+	h.gets = nil
+	h.store.Reply(h.now, call.ID, 200, h.encode(map[string]any{"path": "x", "v": finalState{Status: state}, "stamp": 9}))
 }
 
-// mustLookUpAnew checks that a repeat has no answer yet, and gets one from a look at the state
-// service that leaves now: the job was cancelled meanwhile.
-func (b *bench) mustLookUpAnew(id string, repeat *[]Answer) {
-	b.t.Helper()
+// requireNewLookup checks that a repeated submission has no answer yet, and that it is answered
+// from a lookup sent now, which finds that the job was cancelled meanwhile.
+func (h *harness) requireNewLookup(id string, repeat *[]Answer) {
+	h.t.Helper()
 	if len(*repeat) != 0 {
-		b.t.Fatalf("the repeat was answered from an earlier reading: %+v", *repeat)
+		h.t.Fatalf("the repeated submission was answered from an earlier read: %+v", *repeat)
 	}
-	b.tick()
-	b.store.Reply(b.now, b.takeTxn().ID, 409, b.pack(wire.TxnReply{Failed: []string{keyFinal + id}}))
-	b.tick()
-	b.replyFinal(wire.StatusCancelled)
+	h.tick()
+	h.store.Reply(h.now, h.takeTxn().ID, 409, h.encode(wire.TxnReply{Failed: []string{keyFinal + id}}))
+	h.tick()
+	h.replyFinal(wire.StatusCancelled)
 	if len(*repeat) != 1 {
-		b.t.Fatalf("the repeat has %d answers", len(*repeat))
+		h.t.Fatalf("the repeated submission has %d answers, want 1", len(*repeat))
 	}
-	mustTell(b.t, (*repeat)[0], wire.StatusCancelled)
+	requireStatus(h.t, (*repeat)[0], wire.StatusCancelled)
 }
 
-func mustTell(t *testing.T, a Answer, want wire.JobState) {
+func requireStatus(t *testing.T, a Answer, want wire.JobState) {
 	t.Helper()
 	state, ok := a.Body.(wire.JobStatus)
 	if a.Status != 200 || !ok || state.Status != want {
@@ -74,83 +74,84 @@
 	}
 }
 
-// TestRepeatAfterTheLookUpLeft guards against what a user was told on the night of the records:
-// a submission that is known already waits for a look at the state service. The look has left
-// and finds the job open; then another node tells that the job is cancelled, and a repeat of
-// the submission comes. It must not share the answer of a look that left before it came.
-func TestRepeatAfterTheLookUpLeft(t *testing.T) {
-	b, commit, first := submissionUnderWay(t, "job-1")
-	b.store.Reply(b.now, commit.ID, 409, b.pack(wire.TxnReply{Failed: []string{keyJob + "job-1"}}))
-	b.tick()
-	look := b.takeTxn()
+// TestRepeatAfterLookupSent guards against a stale answer to a repeated submission. A submission
+// of an existing job waits for a lookup, which is sent and finds the job open. Then another node
+// confirms the job's cancellation to a user, and the submission is repeated. The repeat must not
+// share the answer of the lookup, which was sent before the repeat arrived.
+func TestRepeatAfterLookupSent(t *testing.T) {
+	h, commit, first := newHarnessWithSubmission(t, "job-1")
+	h.store.Reply(h.now, commit.ID, 409, h.encode(wire.TxnReply{Failed: []string{keyJob + "job-1"}}))
+	h.tick()
+	lookupCall := h.takeTxn()
 
 	var repeat []Answer
-	b.submit("job-1", &repeat)
-	b.store.Reply(b.now, look.ID, 409, b.pack(wire.TxnReply{Failed: []string{keyJob + "job-1"}}))
+	h.submit("job-1", &repeat)
+	h.store.Reply(h.now, lookupCall.ID, 409, h.encode(wire.TxnReply{Failed: []string{keyJob + "job-1"}}))
 	if len(*first) != 1 {
-		t.Fatalf("the first submission has %d answers", len(*first))
+		t.Fatalf("the first submission has %d answers, want 1", len(*first))
 	}
-	mustTell(t, (*first)[0], wire.StatusPending)
-	b.mustLookUpAnew("job-1", &repeat)
+	requireStatus(t, (*first)[0], wire.StatusPending)
+	h.requireNewLookup("job-1", &repeat)
 }
 
-// TestRepeatAfterTheTransactionLeft is the same for the transaction that accepts the job:
-// its answer is late, and before a repeat comes, users of other nodes were told that the job
-// was accepted and cancelled.
-func TestRepeatAfterTheTransactionLeft(t *testing.T) {
-	b, commit, first := submissionUnderWay(t, "job-1")
+// TestRepeatAfterCommitSent guards against the same fault with the transaction that accepts the
+// job: its reply is late, and before the repeat arrives, other nodes have confirmed to users that
+// the job was accepted and cancelled.
+func TestRepeatAfterCommitSent(t *testing.T) {
+	h, commit, first := newHarnessWithSubmission(t, "job-1")
 	var repeat []Answer
-	b.submit("job-1", &repeat)
-	b.store.Reply(b.now, commit.ID, 200, b.pack(wire.TxnReply{Revision: 9}))
+	h.submit("job-1", &repeat)
+	h.store.Reply(h.now, commit.ID, 200, h.encode(wire.TxnReply{Revision: 9}))
 	if len(*first) != 1 || (*first)[0].Status != 201 {
 		t.Fatalf("the first submission got %+v", *first)
 	}
-	b.mustLookUpAnew("job-1", &repeat)
+	h.requireNewLookup("job-1", &repeat)
 }
 
-// TestLateAcceptanceTellsTheKnownEnd: a peer's word that the job is cancelled overtakes the
-// answer of the transaction that accepted it. The node itself has told users the end by then.
-func TestLateAcceptanceTellsTheKnownEnd(t *testing.T) {
-	b, commit, first := submissionUnderWay(t, "job-1")
-	b.registry.MergeCancellations(b.now, []string{"job-1"})
-	var question []Answer
-	b.registry.Query(b.now, "job-1", func(a Answer) { question = append(question, a) })
-	if len(question) != 1 {
-		t.Fatalf("the question has %d answers", len(question))
+// TestLateAcceptanceReturnsKnownFinalState guards against a "pending" answer after a "cancelled"
+// one. A peer's report that the job is cancelled arrives before the reply to the transaction that
+// accepted the job, and this node has already answered a query with the final state.
+func TestLateAcceptanceReturnsKnownFinalState(t *testing.T) {
+	h, commit, first := newHarnessWithSubmission(t, "job-1")
+	h.registry.MergeCancellations(h.now, []string{"job-1"})
+	var query []Answer
+	h.registry.Query(h.now, "job-1", func(a Answer) { query = append(query, a) })
+	if len(query) != 1 {
+		t.Fatalf("the query has %d answers, want 1", len(query))
 	}
-	mustTell(t, question[0], wire.StatusCancelled)
-	b.store.Reply(b.now, commit.ID, 200, b.pack(wire.TxnReply{Revision: 9}))
+	requireStatus(t, query[0], wire.StatusCancelled)
+	h.store.Reply(h.now, commit.ID, 200, h.encode(wire.TxnReply{Revision: 9}))
 	if len(*first) != 1 {
-		t.Fatalf("the submission has %d answers", len(*first))
+		t.Fatalf("the submission has %d answers, want 1", len(*first))
 	}
-	mustTell(t, (*first)[0], wire.StatusCancelled)
+	requireStatus(t, (*first)[0], wire.StatusCancelled)
 }
 
-// TestPeersAreToldOfEveryCancellation: what this node vouches for must hold each cancellation that
-// it told a user of, as long as tasks of the job may be left. Guards against one that is passed on
-// no more after a while, at the moment at which it is in no list, and against one whose job this
-// node has not read.
-func TestPeersAreToldOfEveryCancellation(t *testing.T) {
+// TestPeersReceiveEveryCancellation checks that the list that this node sends to peers as complete
+// contains each cancellation that it confirmed to a user, as long as tasks of the job may be left.
+// With only a time limit, a cancellation was missing from the list at the moment when the limit
+// expired, and permanently if this node had not read the job's record.
+func TestPeersReceiveEveryCancellation(t *testing.T) {
 	const id = "job-1"
-	confirm := func(t *testing.T) *bench {
-		b := newBench(t)
-		b.registry.cacheFinal(id, finalState{Status: wire.StatusCancelled})
-		return b
+	confirm := func(t *testing.T) *harness {
+		h := newHarness(t)
+		h.registry.cacheFinal(id, finalState{Status: wire.StatusCancelled})
+		return h
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name string
 		open bool
 	}{{"its job is known", true}, {"its job has not been read", false}} {
-		t.Run(c.name, func(t *testing.T) {
-			b := confirm(t)
-			if c.open {
-				raw := b.pack(&wire.Job{ID: id, Tasks: 1, Types: []string{"c"}})
-				b.registry.Apply(statestore.Change{Key: keyJob + id, Entry: statestore.Entry{Value: raw, Version: 9}})
+		t.Run(test.name, func(t *testing.T) {
+			h := confirm(t)
+			if test.open {
+				record := h.encode(&wire.Job{ID: id, Tasks: 1, Types: []string{"c"}})
+				h.registry.Apply(statestore.Change{Key: keyJob + id, Entry: statestore.Entry{Value: record, Version: 9}})
 			}
 			for _, after := range []time.Duration{0, limits.CancelNoticeFor, limits.CancelNoticeFor + time.Second, 2 * limits.CancelNoticeFor} {
-				b.registry.now = b.now + after
-				if got := b.registry.Cancellations(); !slices.Contains(got, id) {
-					t.Errorf("%v after its user was told, peers are told of %v only", after, got)
+				h.registry.now = h.now + after
+				if got := h.registry.Cancellations(); !slices.Contains(got, id) {
+					t.Errorf("%v after the cancellation was confirmed to its user, peers receive only %v", after, got)
 				}
 			}
 		})
--- a/internal/jobs/submissions.go
+++ b/internal/jobs/submissions.go
@@ -10,40 +10,40 @@
 	"umberpaddle/internal/wire"
 )
 
-// submission is a job that is to be accepted, with all users who wait for that.
+// submission is a job to be accepted, with all users who wait for the result.
 type submission struct {
-	job     *wire.Job
-	waiters []*waiter // the first is told 201
-	alone   bool      // in a transaction of its own
-	exists  bool      // the job was accepted before: only its state is still asked for
+	job            *wire.Job
+	waiters        []*waiter // the first gets status 201
+	ownTransaction bool      // sent in a transaction of its own
+	jobExists      bool      // the job was accepted before, and only its state is still looked up
 }
 
-// Full tells whether no more users' requests are taken.
+// Full reports whether the limit of waiting requests or of open jobs is reached.
 func (r *Registry) Full() bool {
-	return r.waiting >= limits.MaxWaiting || len(r.Open) >= limits.MaxOpenJobs
+	return r.waitingRequests >= limits.MaxWaiting || len(r.Open) >= limits.MaxOpenJobs
 }
 
-// Known tells whether the job is certain to have been accepted.
-func (r *Registry) Known(id string) bool {
+// IsAccepted reports whether the job is certain to have been accepted.
+func (r *Registry) IsAccepted(id string) bool {
 	if _, ok := r.finals[id]; ok {
 		return true
 	}
 	return r.Open[id] != nil
 }
 
-// Submit accepts a job: one transaction makes it durable, unless it exists.
+// Submit accepts a job. One transaction makes it durable, unless the job exists already.
 func (r *Registry) Submit(now time.Duration, job *wire.Job, answer func(Answer)) {
 	r.now = max(r.now, now)
 	w := r.newWaiter(job.ID, limits.SubmitWait, answer)
-	if s := r.submissionsByID[job.ID]; s != nil {
-		r.join(s, w)
+	if sub := r.submissionsByID[job.ID]; sub != nil {
+		r.joinSubmission(sub, w)
 		return
 	}
 	if r.Full() {
 		answer(Answer{Status: 429, Body: wire.ErrorBody{Error: "too many requests wait"}, RetryAfter: limits.RetryAfterS})
 		return
 	}
-	// What can't be taken now is said at once, with the time to come back at.
+	// A job that can't be accepted now is refused at once, with a time to retry after.
 	if r.store.Unreachable() {
 		answer(RetryLater())
 		return
@@ -52,158 +52,162 @@
 		answer(Answer{Status: 429, Body: wire.ErrorBody{Error: "the state service's budget is used up"}, RetryAfter: int(math.Ceil(wait.Seconds()))})
 		return
 	}
-	s := &submission{job: job, waiters: []*waiter{w}}
-	r.submissionsByID[job.ID] = s
-	r.waiting++
-	r.submissions = append(r.submissions, s)
+	sub := &submission{job: job, waiters: []*waiter{w}}
+	r.submissionsByID[job.ID] = sub
+	r.waitingRequests++
+	r.queuedSubmissions = append(r.queuedSubmissions, sub)
 }
 
-// join lets the repeat of a submission wait with the one that is under way.
-func (r *Registry) join(s *submission, w *waiter) {
-	if s.exists {
-		r.lookUp(&lookup{waiter: w})
+// joinSubmission makes the repeat of a submission wait for the one in flight. If the job is
+// already known to exist, the repeat gets a lookup of its own.
+func (r *Registry) joinSubmission(sub *submission, w *waiter) {
+	if sub.jobExists {
+		r.startLookup(&lookup{waiter: w})
 		return
 	}
-	s.waiters = append(s.waiters, w)
+	sub.waiters = append(sub.waiters, w)
 }
 
-// close ends a submission: repeats of it are judged anew.
-func (r *Registry) close(s *submission) {
-	if r.submissionsByID[s.job.ID] == s {
-		delete(r.submissionsByID, s.job.ID)
+// closeSubmission ends a submission. A later repeat starts a new one.
+func (r *Registry) closeSubmission(sub *submission) {
+	if r.submissionsByID[sub.job.ID] == sub {
+		delete(r.submissionsByID, sub.job.ID)
 	}
-	r.waiting--
+	r.waitingRequests--
 }
 
-// retry tells all who wait for a submission to come back.
-func (r *Registry) retry(s *submission) {
-	r.close(s)
-	for _, w := range s.waiters {
+// failSubmission asks all users who wait for a submission to retry later.
+func (r *Registry) failSubmission(sub *submission) {
+	r.closeSubmission(sub)
+	for _, w := range sub.waiters {
 		w.answer(RetryLater())
 	}
 }
 
-// sendSubmissions groups the waiting submissions into transactions.
+// sendSubmissions groups the queued submissions into transactions.
 func (r *Registry) sendSubmissions() {
-	for len(r.submissions) > 0 {
+	for len(r.queuedSubmissions) > 0 {
 		n := 1
-		if !r.submissions[0].alone {
-			for n < len(r.submissions) && n < r.store.MaxWrites() && !r.submissions[n].alone {
+		if !r.queuedSubmissions[0].ownTransaction {
+			for n < len(r.queuedSubmissions) && n < r.store.MaxWrites() && !r.queuedSubmissions[n].ownTransaction {
 				n++
 			}
 		}
-		group := r.submissions[:n:n]
-		r.submissions = r.submissions[n:]
-		r.commit(group)
+		group := r.queuedSubmissions[:n:n]
+		r.queuedSubmissions = r.queuedSubmissions[n:]
+		r.commitSubmissions(group)
 	}
-	r.submissions = nil
+	r.queuedSubmissions = nil
 }
 
-// commit makes a group of submissions durable in one transaction.
-func (r *Registry) commit(group []*submission) {
-	var t wire.Txn
-	for _, s := range group {
-		t.Guards = append(t.Guards, wire.Guard{Key: keyJob + s.job.ID}, wire.Guard{Key: keyFinal + s.job.ID})
-		t.Then = append(t.Then, wire.Op{Key: keyJob + s.job.ID, Value: s.job})
+// commitSubmissions makes a group of submissions durable in one transaction.
+func (r *Registry) commitSubmissions(group []*submission) {
+	var txn wire.Txn
+	for _, sub := range group {
+		txn.Guards = append(txn.Guards, wire.Guard{Key: keyJob + sub.job.ID}, wire.Guard{Key: keyFinal + sub.job.ID})
+		txn.Then = append(txn.Then, wire.Op{Key: keyJob + sub.job.ID, Value: sub.job})
 	}
-	r.store.Txn(statestore.User, limits.SubmitWait, t, func(reply statestore.Reply) {
-		var tr wire.TxnReply
-		decoded := wire.Decode(reply.Body, &tr) == nil
+	r.store.Txn(statestore.User, limits.SubmitWait, txn, func(reply statestore.Reply) {
+		var txnReply wire.TxnReply
+		decoded := wire.Decode(reply.Body, &txnReply) == nil
 		switch {
 		case reply.Status == statestore.OK && decoded:
-			r.accepted(group, reading{reply.Call}, tr.Revision)
+			r.handleAccepted(group, stateRead{reply.Call}, txnReply.Revision)
 		case reply.Status == statestore.Conflict && decoded:
-			r.conflicted(group, failedKeys(tr))
+			r.handleConflict(group, failedKeys(txnReply))
 		case reply.Status == statestore.BadRequest && len(group) > 1:
-			// Guards against one record that the state service refuses for its size or
-			// form, and with it those of all who share its transaction.
-			for _, s := range group {
-				r.resubmit(s)
+			// The state service may refuse one record for its size or form, and with it the
+			// whole transaction. Each submission is sent again in a transaction of its own,
+			// so that the other submissions don't fail too.
+			for _, sub := range group {
+				r.resubmit(sub)
 			}
 		default:
-			// Not executed, or perhaps executed later: the user asks again, and
-			// the guards make one job of it.
-			for _, s := range group {
-				r.retry(s)
+			// The transaction was not executed, or may still be executed later. The user
+			// retries, and the guards ensure that only one job is created.
+			for _, sub := range group {
+				r.failSubmission(sub)
 			}
 		}
 	})
 }
 
-// failedKeys lists the keys whose conditions failed.
-func failedKeys(tr wire.TxnReply) map[string]bool {
+// failedKeys returns the keys whose guards failed.
+func failedKeys(txnReply wire.TxnReply) map[string]bool {
 	failed := map[string]bool{}
-	for _, key := range tr.Failed {
+	for _, key := range txnReply.Failed {
 		failed[key] = true
 	}
 	return failed
 }
 
-// accepted answers submissions that are durable now.
-func (r *Registry) accepted(group []*submission, read reading, revision uint64) {
-	for _, s := range group {
-		// The mirror may have it already, or even have seen it end.
-		if r.Open[s.job.ID] == nil && r.store.Mirror.Revision < revision {
-			if raw, err := wire.Encode(s.job); err == nil {
-				r.store.Mirror.Put(keyJob+s.job.ID, raw, revision)
+// handleAccepted answers submissions that have become durable.
+func (r *Registry) handleAccepted(group []*submission, read stateRead, revision uint64) {
+	for _, sub := range group {
+		// The mirror may already contain the job, or even have seen its removal.
+		if r.Open[sub.job.ID] == nil && r.store.Mirror.Revision < revision {
+			if raw, err := wire.Encode(sub.job); err == nil {
+				r.store.Mirror.Put(keyJob+sub.job.ID, raw, revision)
 			}
 		}
-		r.log(slog.LevelInfo, "job accepted", "job", s.job.ID, "team", s.job.Team, "tasks", s.job.Tasks)
-		r.close(s)
-		r.answerAccepted(s, read)
+		r.log(slog.LevelInfo, "job accepted", "job", sub.job.ID, "team", sub.job.Team, "tasks", sub.job.Tasks)
+		r.closeSubmission(sub)
+		r.answerAccepted(sub, read)
 	}
 }
 
-// answerAccepted answers those who wait for a submission that was just accepted. Guards
-// against repeats that came when the transaction had left: by the time of its answer, users of
-// other nodes may have been told that the job is cancelled, before the repeat was sent.
-func (r *Registry) answerAccepted(s *submission, read reading) {
-	pending := wire.JobStatus{ID: s.job.ID, Status: wire.StatusPending}
-	for i, w := range s.waiters {
+// answerAccepted answers the users who wait for a submission that was just accepted. A repeat
+// that arrived after the transaction was sent gets a new lookup: before that repeat was sent,
+// another node may have confirmed to a user that the job is cancelled, and "pending" would be a
+// stale answer.
+func (r *Registry) answerAccepted(sub *submission, read stateRead) {
+	pending := wire.JobStatus{ID: sub.job.ID, Status: wire.StatusPending}
+	for i, w := range sub.waiters {
 		switch {
 		case i == 0:
-			r.answerFrom(read, w, Answer{Status: 201, Body: pending})
-		case read.covers(w):
-			r.answerFrom(read, w, stateAnswer(pending))
+			r.answerFromRead(read, w, Answer{Status: 201, Body: pending})
+		case read.isFreshFor(w):
+			r.answerFromRead(read, w, statusAnswer(pending))
 		default:
-			r.lookUp(&lookup{waiter: w})
+			r.startLookup(&lookup{waiter: w})
 		}
 	}
 }
 
-// conflicted answers the submissions of a group that are known already with their present
-// state, as a query would tell it, and sends the others once more.
-func (r *Registry) conflicted(group []*submission, failed map[string]bool) {
-	for _, s := range group {
-		if failed[keyJob+s.job.ID] || failed[keyFinal+s.job.ID] {
-			r.lookUpExisting(s)
+// handleConflict looks up the current state for those submissions of a group whose job exists
+// already, and sends the others again.
+func (r *Registry) handleConflict(group []*submission, failed map[string]bool) {
+	for _, sub := range group {
+		if failed[keyJob+sub.job.ID] || failed[keyFinal+sub.job.ID] {
+			r.lookUpExisting(sub)
 		} else {
-			r.resubmit(s)
+			r.resubmit(sub)
 		}
 	}
 }
 
-// lookUpExisting asks for the state of a job whose submission is a repeat. Each who waits has a
-// look-up of its own, also those who come until the first is answered: a shared answer would be
-// older than the requests of those who came after it was read.
-func (r *Registry) lookUpExisting(s *submission) {
-	s.exists = true
-	first := s.waiters[0]
+// lookUpExisting looks up the state of a job whose submission is a repeat. Every waiting user
+// gets a separate lookup, including users who join before the first one is answered: a shared
+// answer could have been read before a later request arrived, and would be stale for it.
+func (r *Registry) lookUpExisting(sub *submission) {
+	sub.jobExists = true
+	first := sub.waiters[0]
 	reply := first.reply
 	first.reply = func(a Answer) {
-		r.close(s)
+		r.closeSubmission(sub)
 		reply(a)
 	}
-	for _, w := range s.waiters {
-		r.lookUp(&lookup{waiter: w})
+	for _, w := range sub.waiters {
+		r.startLookup(&lookup{waiter: w})
 	}
 }
 
-func (r *Registry) resubmit(s *submission) {
-	if r.now >= s.waiters[0].until {
-		r.retry(s)
+// resubmit sends a submission again, in a transaction of its own, unless its deadline has passed.
+func (r *Registry) resubmit(sub *submission) {
+	if r.now >= sub.waiters[0].deadline {
+		r.failSubmission(sub)
 		return
 	}
-	s.alone = true
-	r.submissions = append(r.submissions, s)
+	sub.ownTransaction = true
+	r.queuedSubmissions = append(r.queuedSubmissions, sub)
 }
