--- a/internal/ownership/extension.go
+++ b/internal/ownership/extension.go
@@ -6,17 +6,18 @@
 	"umberpaddle/internal/limits"
 )
 
-// GrantExtension answers a peer that asks to go on answering its workers for the
-// given classes and terms: yes if the state service is out of our reach as
-// well and nobody is known to have followed that peer. The promise holds from now, and
-// speaks for the time since this process began (Uptime), not for an earlier life.
+// GrantExtension reports whether this node grants a peer an extension, with which the peer may
+// continue to answer its workers for the given classes and terms. It does so if the state service is
+// unreachable for this node as well and no later term of these classes is known. By granting it, this
+// node promises to take over no class from now until the extension ends. It cannot speak for the time
+// before its process began, so the asker also checks its Uptime.
 func (n *Node) GrantExtension(now time.Duration, terms map[string]uint64) bool {
 	if now > n.now {
 		n.now = now
 	}
 	if !n.store.Mirror.Loaded {
-		// We know nothing yet, so we take over nothing; but we don't know
-		// either whether the state service fails everybody.
+		// Before the mirror is loaded this node takes over nothing, but without a failed request
+		// it cannot tell either whether the state service is down for all nodes.
 		if n.store.LastFail == 0 {
 			return false
 		}
@@ -24,8 +25,8 @@
 	if !n.store.Down() {
 		return false
 	}
-	// Guards against a deposed owner that asks in an outage which began after
-	// its successor took over: the successor knows its own claim, also after that ended.
+	// Without this check, a deposed owner could get an extension in an outage that began after its
+	// successor took over. The successor still knows its own term, even after its claim has ended.
 	for class, term := range terms {
 		if n.latestTerms[class] > term {
 			return false
@@ -38,33 +39,35 @@
 	return true
 }
 
-// Uptime is for how long this process has run, and so how far back its memory reaches.
+// Uptime returns how long this process has been running, and so how far back its memory reaches.
 func (n *Node) Uptime() time.Duration { return n.now - n.start }
 
-// RecordExtension records a peer's answer to a request that left at sent; uptime is that of the
-// peer as it answered, 0 if its version doesn't tell.
-func (n *Node) RecordExtension(peer string, sent time.Duration, yes bool, uptime time.Duration) {
-	if !yes || !n.remembersEnough(peer, uptime) {
+// RecordExtension records a peer's reply to an extension request that was sent at sent. uptime is the
+// peer's uptime when it replied, or 0 if the peer's version does not report it.
+func (n *Node) RecordExtension(peer string, sent time.Duration, granted bool, uptime time.Duration) {
+	if !granted || !n.uptimeCoversGap(peer, uptime) {
 		n.extensions[peer] = 0
 		return
 	}
 	n.extensions[peer] = sent + time.Duration(float64(limits.ExtensionLife)*(1-limits.ClockDrift))
-	n.notFollowedUntil[peer] = max(n.notFollowedUntil[peer], sent+time.Duration(float64(limits.GrantLife)*(1-limits.ClockDrift)))
+	n.noTakeoverUntil[peer] = max(n.noTakeoverUntil[peer], sent+time.Duration(float64(limits.GrantLife)*(1-limits.ClockDrift)))
 }
 
-// remembersEnough tells whether a peer that has run for uptime would know if it had followed us:
-// it began before the time up to which it can't have, since our lease was valid, or since the
-// peer, in this life or in one before, kept to a promise. Any successor is one of the peers, so if
-// each of them speaks for itself without a gap, there is none.
+// uptimeCoversGap reports whether a peer with the given uptime would remember having taken over from
+// this node. Its process must have begun before the end of the time in which the peer cannot have taken
+// over, either because this node's lease was valid or because the peer, in this incarnation or an
+// earlier one, had granted an extension. Any successor is one of the peers, so if each of them covers
+// its own time without a gap, there is no successor.
 //
-// Guards against a successor that ended in an outage and was back without memory: it let the owner
-// before it go on, whose tasks it had started elsewhere.
-func (n *Node) remembersEnough(peer string, uptime time.Duration) bool {
+// Without this check, a successor that restarted during an outage and lost its memory would let the
+// previous owner continue, although it had already started that owner's tasks elsewhere.
+func (n *Node) uptimeCoversGap(peer string, uptime time.Duration) bool {
 	began := n.now - time.Duration(float64(uptime)*(1-limits.ClockDrift))
-	return began <= max(n.leaseEnd, n.notFollowedUntil[peer])
+	return began <= max(n.leaseEnd, n.noTakeoverUntil[peer])
 }
 
-// NeedsExtension tells whether peers should be asked for promises now.
+// NeedsExtension reports whether to ask the peers for extensions now. If so, it also delays the next
+// request by limits.ExtensionInterval.
 func (n *Node) NeedsExtension() bool {
 	stale := n.now-n.CancellationsKnownThrough() > n.MaxStaleness/2
 	if len(n.claims) == 0 || !n.store.Down() && !stale || n.now < n.nextExtensionRequest {
@@ -74,8 +77,8 @@
 	return true
 }
 
-// pastEarlierGrants tells whether promises given before a restart are over, or
-// can't concern the class since its last owner was this node itself.
-func (n *Node) pastEarlierGrants(class string) bool {
+// earlierGrantsEnded reports whether all extensions granted by earlier incarnations of this node are
+// over, or cannot concern the class because this node was its last owner.
+func (n *Node) earlierGrantsEnded(class string) bool {
 	return n.now >= n.start+limits.ExtensionLife+2*limits.LeaseMargin || n.lastOwners[class] == n.Name
 }
--- a/internal/ownership/handover.go
+++ b/internal/ownership/handover.go
@@ -9,27 +9,26 @@
 	"umberpaddle/internal/wire"
 )
 
-// release writes the successor of classes that were handed over and ends our hold
-// of them, in one transaction if it holds them all, so that they stay together.
+// release maps classes that are being handed over to the successor and removes this node's holds on
+// them. It does so in one transaction if the write limit allows, so that the classes stay together.
 func (n *Node) release(classes []string) {
 	next := n.successor()
 	if len(classes) == 0 || next == "" {
 		return
 	}
 	sort.Strings(classes)
-	var t wire.Txn
+	var txn wire.Txn
 	for _, class := range classes[:min(len(classes), max(1, n.store.MaxWrites()/2))] {
-		own, key := keyOwn+classKey(class), keyMap+classKey(class)
-		t.Guards = append(t.Guards, wire.Guard{Key: own, Version: n.holders[class].version}, wire.Guard{Key: key, Version: n.mapping[class].version})
-		t.Then = append(t.Then, wire.Op{Remove: own}, wire.Op{Key: key, Value: holderRecord{Node: next, HandedOver: true}})
+		ownerKey, mappingKey := keyOwner+keySegment(class), keyMapping+keySegment(class)
+		txn.Guards = append(txn.Guards, wire.Guard{Key: ownerKey, Version: n.holders[class].version}, wire.Guard{Key: mappingKey, Version: n.mapping[class].version})
+		txn.Then = append(txn.Then, wire.Op{Remove: ownerKey}, wire.Op{Key: mappingKey, Value: nodeRecord{Node: next, HandedOver: true}})
 	}
-	n.submit("release", t)
+	n.submit("release", txn)
 }
 
-// Handover gives all classes to another node, for an owner that its workers
-// can't reach: it stops acting in this step, and names its successor itself, since
-// the leader sees nothing wrong with it. preferred is the node that workers reach, or
-// empty if none is known.
+// Handover hands all classes to another node, for an owner that its workers cannot reach. The owner
+// stops acting on them at once. It names its successor itself, because the leader sees the owner as
+// healthy. preferred is a node that the workers reach, or "" if none is known.
 func (n *Node) Handover(preferred string) {
 	n.preferredSuccessor = preferred
 	next := n.successor()
@@ -37,15 +36,15 @@
 		return
 	}
 	for _, class := range slices.Sorted(maps.Keys(n.claims)) {
-		c := n.claims[class]
-		n.log(slog.LevelInfo, "class handed over", "class", class, "term", c.Term, "to", next)
-		n.handingOver[class] = c.Term
+		claim := n.claims[class]
+		n.log(slog.LevelInfo, "class handed over", "class", class, "term", claim.Term, "to", next)
+		n.handingOver[class] = claim.Term
 	}
 	n.dropClaims()
 }
 
-// successor is the live node that workers reach, if one is known, else the one that
-// follows this one in the order of names.
+// successor returns the preferred successor if that is a live peer, else the next live peer in the
+// cyclic order of names. It returns "" if there is no live peer.
 func (n *Node) successor() string {
 	if _, alive := n.nodes[n.preferredSuccessor]; alive && n.preferredSuccessor != n.Name {
 		return n.preferredSuccessor
--- a/internal/ownership/lease.go
+++ b/internal/ownership/lease.go
@@ -9,56 +9,60 @@
 	"umberpaddle/internal/wire"
 )
 
-// LeaseValid tells whether our state lease is certainly alive.
+// LeaseValid reports whether this node's lease at the state service is certainly still valid.
 func (n *Node) LeaseValid() bool { return n.lease != 0 && n.now < n.leaseEnd }
 
+// keepLease obtains a lease if this node has none, and renews it when a renewal is due.
 func (n *Node) keepLease() {
-	if n.leaseRequested || n.now < n.nextRenew {
+	if n.leaseRequested || n.now < n.nextRenewal {
 		return
 	}
 	n.leaseRequested = true
-	n.nextRenew = n.now + limits.RenewInterval
+	n.nextRenewal = n.now + limits.RenewInterval
 	if n.lease == 0 {
-		n.store.NewLease(limits.NodeLease, func(r statestore.Reply) {
+		n.store.NewLease(limits.NodeLease, func(reply statestore.Reply) {
 			n.leaseRequested = false
-			var l wire.LeaseReply
-			if r.Status == statestore.OK && wire.Decode(r.Body, &l) == nil && l.Lease != 0 {
-				n.lease = l.Lease
-				n.extendLease(r.SentAt)
+			var body wire.LeaseReply
+			if reply.Status == statestore.OK && wire.Decode(reply.Body, &body) == nil && body.Lease != 0 {
+				n.lease = body.Lease
+				n.extendLease(reply.SentAt)
 			}
 		})
 		return
 	}
-	// Guards against a node that the state service hears but that gets no answers:
-	// its renewals kept alive a lease under which it dared not act, so nobody did.
-	// Once the lease may be over it asks before it renews.
+	// If the lease may have expired after an unanswered renewal, the node first checks with a read
+	// that replies arrive. Without this check, a node whose requests reach the state service but
+	// which gets no replies would keep its lease alive without daring to act under it, and no other
+	// node could take over.
 	if n.renewalUnanswered && !n.LeaseValid() {
-		n.store.Get(statestore.Lease, limits.StoreTimeout, keyLeader, func(r statestore.Reply) {
+		n.store.Get(statestore.Lease, limits.StoreTimeout, keyLeader, func(reply statestore.Reply) {
 			n.leaseRequested = false
-			if r.Status == statestore.OK || r.Status == statestore.NotFound {
-				n.renewalUnanswered, n.nextRenew = false, 0
+			if reply.Status == statestore.OK || reply.Status == statestore.NotFound {
+				n.renewalUnanswered, n.nextRenewal = false, 0
 			}
 		})
 		return
 	}
 	lease := n.lease
-	n.store.Renew(lease, func(r statestore.Reply) {
+	n.store.Renew(lease, func(reply statestore.Reply) {
 		n.leaseRequested = false
-		n.renewalUnanswered = r.Status == statestore.NoAnswer
+		n.renewalUnanswered = reply.Status == statestore.NoAnswer
 		if lease != n.lease {
 			return
 		}
-		switch r.Status {
+		switch reply.Status {
 		case statestore.OK:
-			n.extendLease(r.SentAt)
+			n.extendLease(reply.SentAt)
 		case statestore.NotFound:
 			n.log(slog.LevelInfo, "state lease lost", "lease", lease)
-			n.lease, n.leaseEnd, n.nextRenew = 0, 0, 0
+			n.lease, n.leaseEnd, n.nextRenewal = 0, 0, 0
 			n.dropClaims()
 		}
 	})
 }
 
+// extendLease counts the lease from the time at which the request was sent, less the allowed clock
+// drift and a margin.
 func (n *Node) extendLease(sent time.Duration) {
 	end := sent + time.Duration(float64(limits.NodeLease)*(1-limits.ClockDrift)) - limits.LeaseMargin
 	if end > n.leaseEnd {
@@ -66,12 +70,14 @@
 	}
 }
 
+// endLease ends a lease of an earlier incarnation of this node. If that fails, it retries as long as
+// the mirror shows a record under the lease.
 func (n *Node) endLease(lease uint64) {
-	n.store.EndLease(lease, func(r statestore.Reply) {
-		if r.Status != statestore.OK && r.Status != statestore.NotFound && r.Status != 204 {
+	n.store.EndLease(lease, func(reply statestore.Reply) {
+		if reply.Status != statestore.OK && reply.Status != statestore.NotFound && reply.Status != 204 {
 			delete(n.endingLeases, lease)
-			for _, m := range []map[string]record{n.nodes, n.holders, {"": n.leader}} {
-				for _, rec := range m {
+			for _, records := range []map[string]versionedRecord{n.nodes, n.holders, {"": n.leader}} {
+				for _, rec := range records {
 					if rec.Lease == lease && !n.endingLeases[lease] {
 						n.endingLeases[lease] = true
 						n.endLease(lease)
@@ -82,7 +88,7 @@
 	})
 }
 
-// isOurs tells whether a record is attached to our present lease.
-func (n *Node) isOurs(r record) bool {
-	return r.Node == n.Name && r.Inc == n.Inc && r.Lease == n.lease && n.lease != 0
+// isOwnRecord reports whether a record is attached to this process's present lease.
+func (n *Node) isOwnRecord(rec versionedRecord) bool {
+	return rec.Node == n.Name && rec.Incarnation == n.Incarnation && rec.Lease == n.lease && n.lease != 0
 }
--- a/internal/ownership/mapping.go
+++ b/internal/ownership/mapping.go
@@ -8,22 +8,24 @@
 	"umberpaddle/internal/wire"
 )
 
-func (n *Node) announce() {
-	if r, ok := n.nodes[n.Name]; !ok || !n.isOurs(r) {
-		key := keyNode + classKey(n.Name)
-		var v uint64
+// registerNode writes this node's record under its present lease, if the mirror does not show it.
+func (n *Node) registerNode() {
+	if registered, ok := n.nodes[n.Name]; !ok || !n.isOwnRecord(registered) {
+		key := keyNode + keySegment(n.Name)
+		var version uint64
 		if ok {
-			v = r.version
+			version = registered.version
 		}
-		me := n.ownRecord()
-		me.Format = n.SupportedFormat
-		n.submit(key, wire.Txn{Guards: []wire.Guard{{Key: key, Version: v}}, Then: []wire.Op{{Key: key, Value: me, Lease: n.lease}}})
+		self := n.ownRecord()
+		self.Format = n.SupportedFormat
+		n.submit(key, wire.Txn{Guards: []wire.Guard{{Key: key, Version: version}}, Then: []wire.Op{{Key: key, Value: self, Lease: n.lease}}})
 	}
 }
 
+// elect tries to become leader while there is none, after a delay that differs between nodes.
 func (n *Node) elect() {
 	if n.leader.Node != "" {
-		n.retryAt["elect"] = n.now + n.jitter
+		n.retryAt["elect"] = n.now + n.electionJitter
 		return
 	}
 	if n.now < n.retryAt["elect"] {
@@ -32,97 +34,98 @@
 	n.submit(keyLeader, wire.Txn{Guards: []wire.Guard{{Key: keyLeader}}, Then: []wire.Op{{Key: keyLeader, Value: n.ownRecord(), Lease: n.lease}}})
 }
 
-// remap writes the mapping where it differs from what it should be.
-func (n *Node) remap(classes []string, d Demand) {
+// remap computes the wanted mapping of classes to nodes and writes the entries that differ.
+func (n *Node) remap(classes []string, demand Demand) {
 	alive := map[string]bool{n.Name: true}
 	for name := range n.nodes {
 		alive[name] = true
 	}
 	owner := map[string]string{}
 	all := append([]string(nil), classes...)
-	for c, r := range n.mapping {
-		owner[c] = r.Node
-		all = append(all, c)
-		// After all nodes have ended, the last owner need not wait for promises of
-		// earlier lives, and everybody else must: as long as nobody has claimed the
-		// class, it is the last owner's again once that is back. Not if that has
-		// just handed it over.
-		if last := n.lastOwners[c]; alive[last] && !r.HandedOver {
-			owner[c] = last
+	for class, mapped := range n.mapping {
+		owner[class] = mapped.Node
+		all = append(all, class)
+		// After all nodes have restarted, only the last owner of a class may claim it without
+		// waiting for the end of extensions granted by earlier incarnations. So until someone has
+		// claimed the class, it is mapped to its last owner again once that node is back, unless
+		// that node has just handed it over.
+		if last := n.lastOwners[class]; alive[last] && !mapped.HandedOver {
+			owner[class] = last
 		}
 	}
-	for c, r := range n.holders {
-		owner[c] = r.Node
+	for class, holder := range n.holders {
+		owner[class] = holder.Node
 	}
-	want := Assign(RDUCs(d), all, owner, alive, n.Name)
+	want := Assign(RDUCs(demand), all, owner, alive, n.Name)
 	names := make([]string, 0, len(want))
-	for c := range want {
-		names = append(names, c)
+	for class := range want {
+		names = append(names, class)
 	}
 	sort.Strings(names)
-	t := wire.Txn{Guards: []wire.Guard{{Key: keyLeader, Version: n.leader.version}}}
-	for _, c := range names {
-		if n.mapping[c].Node != want[c] && len(t.Then) < n.store.MaxWrites() {
-			key := keyMap + classKey(c)
-			t.Guards = append(t.Guards, wire.Guard{Key: key, Version: n.mapping[c].version})
-			t.Then = append(t.Then, wire.Op{Key: key, Value: holderRecord{Node: want[c]}})
-			n.log(slog.LevelInfo, "class mapped", "class", c, "owner", want[c], "before", n.mapping[c].Node)
+	txn := wire.Txn{Guards: []wire.Guard{{Key: keyLeader, Version: n.leader.version}}}
+	for _, class := range names {
+		if n.mapping[class].Node != want[class] && len(txn.Then) < n.store.MaxWrites() {
+			key := keyMapping + keySegment(class)
+			txn.Guards = append(txn.Guards, wire.Guard{Key: key, Version: n.mapping[class].version})
+			txn.Then = append(txn.Then, wire.Op{Key: key, Value: nodeRecord{Node: want[class]}})
+			n.log(slog.LevelInfo, "class mapped", "class", class, "owner", want[class], "before", n.mapping[class].Node)
 		}
 	}
-	if len(t.Then) > 0 {
-		n.submit("remap", t)
+	if len(txn.Then) > 0 {
+		n.submit("remap", txn)
 	}
 }
 
-// Format is the form of records that every node reads. Before an upgrade is over it is
-// that of the version before, so that nobody misreads, or loses in rewriting, what
-// another wrote.
+// Format returns the newest record format that every node reads. Until an upgrade is complete, this is
+// the format of the previous version, so that no node misreads a record or drops unknown fields when it
+// rewrites one.
 func (n *Node) Format() int { return n.format }
 
-// raiseFormat lets the leader write down that every node reads the present format: it
-// sees them all, and one that was seen so does not come back older.
+// raiseFormat lets the leader record that every node reads the present format. It relies on a node not
+// being downgraded once it has been seen with that format.
 func (n *Node) raiseFormat() {
 	if n.format >= limits.RecordFormat || n.nodes[n.Name].Format < limits.RecordFormat {
 		return
 	}
-	for _, o := range n.others {
-		if n.nodes[o].Format < limits.RecordFormat {
+	for _, peer := range n.peers {
+		if n.nodes[peer].Format < limits.RecordFormat {
 			return
 		}
 	}
-	e, _ := n.store.Mirror.Get(keyFormat)
-	n.submit(keyFormat, wire.Txn{Guards: []wire.Guard{{Key: keyLeader, Version: n.leader.version}, {Key: keyFormat, Version: e.Version}},
-		Then: []wire.Op{{Key: keyFormat, Value: holderRecord{Format: limits.RecordFormat}}}})
+	entry, _ := n.store.Mirror.Get(keyFormat)
+	n.submit(keyFormat, wire.Txn{Guards: []wire.Guard{{Key: keyLeader, Version: n.leader.version}, {Key: keyFormat, Version: entry.Version}},
+		Then: []wire.Op{{Key: keyFormat, Value: nodeRecord{Format: limits.RecordFormat}}}})
 }
 
-// claim asks for the classes that are mapped to us and held by nobody. The last
-// owner is written along, for pastOldPromises.
-func (n *Node) claim() {
+// claimClasses requests the classes that are mapped to this node and have no holder. It also records this
+// node as their last owner, for earlierGrantsEnded.
+func (n *Node) claimClasses() {
 	names := make([]string, 0, len(n.mapping))
-	for c := range n.mapping {
-		names = append(names, c)
+	for class := range n.mapping {
+		names = append(names, class)
 	}
 	sort.Strings(names)
-	var t wire.Txn
-	for _, c := range names {
-		m := n.mapping[c]
-		if _, held := n.holders[c]; held || m.Node != n.Name || !n.pastEarlierGrants(c) || n.now < n.grantedUntil {
+	var txn wire.Txn
+	for _, class := range names {
+		mapped := n.mapping[class]
+		if _, held := n.holders[class]; held || mapped.Node != n.Name || !n.earlierGrantsEnded(class) || n.now < n.grantedUntil {
 			continue
 		}
-		if len(t.Then)+2 > n.store.TxnOps {
+		if len(txn.Then)+2 > n.store.TxnOps {
 			break
 		}
-		key := keyOwn + classKey(c)
-		// Guards against a promise to the owner before while our claim is under way: it may be
-		// carried out late, and a next life of ours then acts at once, as the last owner.
-		n.latestTerms[c] = max(n.latestTerms[c], n.store.Mirror.Revision)
-		t.Guards = append(t.Guards, wire.Guard{Key: key}, wire.Guard{Key: keyMap + classKey(c), Version: m.version})
-		t.Then = append(t.Then, wire.Op{Key: key, Value: n.ownRecord(), Lease: n.lease})
-		if n.lastOwners[c] != n.Name {
-			t.Then = append(t.Then, wire.Op{Key: keyLast + classKey(c), Value: holderRecord{Node: n.Name}})
+		key := keyOwner + keySegment(class)
+		// From here on, GrantExtension refuses the previous owner. Without this, it could be granted
+		// an extension while this claim is in flight. The claim may still be executed late, and the
+		// next incarnation of this node, being the last owner, would then act on it at once.
+		n.latestTerms[class] = max(n.latestTerms[class], n.store.Mirror.Revision)
+		txn.Guards = append(txn.Guards, wire.Guard{Key: key}, wire.Guard{Key: keyMapping + keySegment(class), Version: mapped.version})
+		txn.Then = append(txn.Then, wire.Op{Key: key, Value: n.ownRecord(), Lease: n.lease})
+		if n.lastOwners[class] != n.Name {
+			txn.Then = append(txn.Then, wire.Op{Key: keyLastOwner + keySegment(class), Value: nodeRecord{Node: n.Name}})
 		}
 	}
-	if len(t.Then) > 0 {
-		n.submit("claim", t)
+	if len(txn.Then) > 0 {
+		n.submit("claim", txn)
 	}
 }
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -1,10 +1,11 @@
-// Package ownership decides which controller acts for which machine class:
-// this node's state lease, the leader's mapping of RDUCs to owners, claims and
-// their terms, and the promises that carry an owner over a state outage.
+// Package ownership decides which controller acts for which machine class. It keeps this node's
+// lease at the state service, lets the leader map RDUCs (clusters of machine classes) to owners,
+// claims classes and tracks the terms of the claims. During an outage of the state service, an owner
+// continues under extensions: promises of all its peers not to take over its classes.
 //
-// Everything is derived from the mirror: a class is ours once the mirror shows
-// our claim, whose version is the term. So a claim whose answer was lost, or
-// that was executed late, needs no case of its own.
+// All ownership is derived from the mirror of the state service: this node owns a class once the
+// mirror shows its claim, and the version of the claim is the term. A claim that got no reply or was
+// executed late therefore needs no special handling.
 package ownership
 
 import (
@@ -20,30 +21,32 @@
 	"umberpaddle/internal/wire"
 )
 
-// Keys under the mirror's root.
+// Keys under the mirror's root. The leader and the record format have one key each. Node keys end in
+// a node's name, the other keys in a class.
 const (
-	keyLeader = statestore.Root + "leader"
-	keyNode   = statestore.Root + "n/"
-	keyMap    = statestore.Root + "map/"
-	keyOwn    = statestore.Root + "own/"
-	keyLast   = statestore.Root + "last/"
-	keyFormat = statestore.Root + "format"
+	keyLeader    = statestore.Root + "leader"
+	keyNode      = statestore.Root + "n/"
+	keyMapping   = statestore.Root + "map/"
+	keyOwner     = statestore.Root + "own/"
+	keyLastOwner = statestore.Root + "last/"
+	keyFormat    = statestore.Root + "format"
 )
 
-// holderRecord is the value of keys that name a process.
-type holderRecord struct {
-	Node  string `msgpack:"n"`
-	Inc   uint64 `msgpack:"i"`
-	Lease uint64 `msgpack:"l,omitempty"`
-	// HandedOver marks a mapping that the last owner wrote itself, by Handover.
+// nodeRecord is the value of all these keys. Each key uses only some of the fields.
+type nodeRecord struct {
+	Node        string `msgpack:"n"`
+	Incarnation uint64 `msgpack:"i"`
+	Lease       uint64 `msgpack:"l,omitempty"`
+	// HandedOver marks a mapping that the previous owner wrote itself, in a handover.
 	HandedOver bool `msgpack:"h,omitempty"`
-	// Format is the newest form of records that a node's version reads, in keyNode, and
-	// in keyFormat what every node of the service read at one time.
+	// Format is, under a node key, the newest record format that the node's version reads. Under
+	// keyFormat it is a format that all nodes of the service could read at one time.
 	Format int `msgpack:"f,omitempty"`
 }
 
-type record struct {
-	holderRecord
+// versionedRecord is a nodeRecord with the version of its key at the state service.
+type versionedRecord struct {
+	nodeRecord
 	version uint64
 }
 
@@ -54,145 +57,148 @@
 	Since time.Duration // when this process began to act on the claim
 }
 
-// Node is the slice's state.
+// Node holds the ownership state of this process and the ownership records that it has read.
 type Node struct {
-	Name string
-	Inc  uint64
-	// SupportedFormat is the newest format that this process says it reads.
+	Name        string
+	Incarnation uint64
+	// SupportedFormat is the newest record format that this process announces that it reads.
 	SupportedFormat int
 
-	store  *statestore.Store
-	others []string
-	log    func(level slog.Level, msg string, args ...any)
-	now    time.Duration
-	start  time.Duration
+	store *statestore.Store
+	peers []string
+	log   func(level slog.Level, msg string, args ...any)
+	now   time.Duration
+	start time.Duration
 
 	lease          uint64
 	leaseEnd       time.Duration
 	leaseRequested bool
-	nextRenew      time.Duration
+	nextRenewal    time.Duration
 
-	format       int // of the records that may be written
-	leader       record
-	nodes        map[string]record
-	mapping      map[string]record
-	holders      map[string]record
-	lastOwners   map[string]string
-	latestTerms  map[string]uint64 // class -> term up to which none holds any more but the holder's
-	endingLeases map[uint64]bool   // leases of our earlier incarnations being ended
+	format       int // newest record format that may be written
+	leader       versionedRecord
+	nodes        map[string]versionedRecord // by node
+	mapping      map[string]versionedRecord // by class
+	holders      map[string]versionedRecord // by class
+	lastOwners   map[string]string          // class -> node
+	latestTerms  map[string]uint64          // class -> revision up to which every term is over, except the present holder's
+	endingLeases map[uint64]bool            // leases of earlier incarnations of this node that are being ended
 
 	claims      map[string]*Claim
 	handingOver map[string]uint64 // class -> term that is being handed over
-	// renewalUnanswered: the last renewal got no answer, and may have been executed.
+	// renewalUnanswered reports that the last lease renewal got no reply and may have been executed.
 	renewalUnanswered  bool
-	preferredSuccessor string                   // who should follow in a handover
-	retryAt            map[string]time.Duration // key -> no new attempt before
+	preferredSuccessor string                   // node that should take over after a handover
+	retryAt            map[string]time.Duration // key -> earliest time of the next attempt
 	nextRemap          time.Duration
-	jitter             time.Duration
+	electionJitter     time.Duration
 
-	grantedUntil         time.Duration            // we claim nothing before this
-	extensions           map[string]time.Duration // peers' promises to us, until
-	notFollowedUntil     map[string]time.Duration // up to when peers, as they promised, can't have followed us
+	grantedUntil         time.Duration            // this node claims nothing before this time
+	extensions           map[string]time.Duration // peer -> end of the extension that it granted
+	noTakeoverUntil      map[string]time.Duration // peer -> time until which, by its promises, it cannot have taken over
 	nextExtensionRequest time.Duration
 
-	// What is known of cancellations that users were told: peerCancellationsAt is up to when
-	// each peer has told all of its own, peerKnownThrough up to when any peer has told
-	// everybody's, and MaxStaleness for how long this node may act without knowing more.
-	peerCancellationsAt map[string]time.Duration
-	peerKnownThrough    time.Duration
-	MaxStaleness        time.Duration
+	// peerReportedThrough is, for each peer, the time up to which it has reported all cancellations
+	// that it confirmed itself.
+	peerReportedThrough map[string]time.Duration
+	// peerKnownThrough is the latest time up to which some peer has reported the cancellations
+	// confirmed by all nodes.
+	peerKnownThrough time.Duration
+	// MaxStaleness is how far CancellationsKnownThrough may lag before this node must stop answering
+	// workers.
+	MaxStaleness time.Duration
 }
 
-// New makes the state of a process. inc is a random number that names the process's life,
-// staleness what MaxStaleness returns for the workers' settings.
-func New(name string, others []string, inc uint64, start, staleness time.Duration, store *statestore.Store, log func(slog.Level, string, ...any)) *Node {
-	return &Node{Name: name, Inc: inc, SupportedFormat: limits.RecordFormat, store: store, others: others, log: log, now: start, start: start,
-		nodes: map[string]record{}, mapping: map[string]record{}, holders: map[string]record{}, lastOwners: map[string]string{}, latestTerms: map[string]uint64{},
-		endingLeases: map[uint64]bool{}, claims: map[string]*Claim{}, handingOver: map[string]uint64{}, retryAt: map[string]time.Duration{}, extensions: map[string]time.Duration{}, notFollowedUntil: map[string]time.Duration{},
-		peerCancellationsAt: map[string]time.Duration{}, MaxStaleness: staleness,
-		jitter: time.Duration(inc % uint64(limits.ElectionJitter))}
+// New returns the state of a process. incarnation is a random number that identifies this run of the
+// process; staleness is the result of MaxStaleness for the workers' settings.
+func New(name string, peers []string, incarnation uint64, start, staleness time.Duration, store *statestore.Store, log func(slog.Level, string, ...any)) *Node {
+	return &Node{Name: name, Incarnation: incarnation, SupportedFormat: limits.RecordFormat, store: store, peers: peers, log: log, now: start, start: start,
+		nodes: map[string]versionedRecord{}, mapping: map[string]versionedRecord{}, holders: map[string]versionedRecord{}, lastOwners: map[string]string{}, latestTerms: map[string]uint64{},
+		endingLeases: map[uint64]bool{}, claims: map[string]*Claim{}, handingOver: map[string]uint64{}, retryAt: map[string]time.Duration{}, extensions: map[string]time.Duration{}, noTakeoverUntil: map[string]time.Duration{},
+		peerReportedThrough: map[string]time.Duration{}, MaxStaleness: staleness,
+		electionJitter: time.Duration(incarnation % uint64(limits.ElectionJitter))}
 }
 
-func classKey(class string) string { return url.PathEscape(class) }
+func keySegment(name string) string { return url.PathEscape(name) }
 
-func classOf(key, prefix string) string {
-	s, err := url.PathUnescape(strings.TrimPrefix(key, prefix))
+func nameFromKey(key, prefix string) string {
+	name, err := url.PathUnescape(strings.TrimPrefix(key, prefix))
 	if err != nil {
 		return ""
 	}
-	return s
+	return name
 }
 
-// Apply follows a change of the mirror.
-func (n *Node) Apply(c statestore.Change) {
-	var r record
-	if !c.Removed {
-		if err := wire.Decode(c.Entry.Value, &r.holderRecord); err != nil {
+// Apply updates the node from a change of the mirror.
+func (n *Node) Apply(change statestore.Change) {
+	var rec versionedRecord
+	if !change.Removed {
+		if err := wire.Decode(change.Entry.Value, &rec.nodeRecord); err != nil {
 			return
 		}
-		r.version = c.Entry.Version
+		rec.version = change.Entry.Version
 	}
-	put := func(m map[string]record, prefix string) {
-		class := classOf(c.Key, prefix)
-		if c.Removed {
-			delete(m, class)
+	update := func(records map[string]versionedRecord, prefix string) {
+		name := nameFromKey(change.Key, prefix)
+		if change.Removed {
+			delete(records, name)
 		} else {
-			m[class] = r
+			records[name] = rec
 		}
 	}
 	switch {
-	case c.Key == keyFormat:
-		n.format = max(n.format, r.Format)
-	case c.Key == keyLeader:
-		if r.Node != n.leader.Node || r.Inc != n.leader.Inc {
-			n.log(slog.LevelInfo, "leader changed", "leader", r.Node, "before", n.leader.Node, "term", r.version)
+	case change.Key == keyFormat:
+		n.format = max(n.format, rec.Format)
+	case change.Key == keyLeader:
+		if rec.Node != n.leader.Node || rec.Incarnation != n.leader.Incarnation {
+			n.log(slog.LevelInfo, "leader changed", "leader", rec.Node, "before", n.leader.Node, "term", rec.version)
 		}
-		n.leader = r
-	case strings.HasPrefix(c.Key, keyNode):
-		put(n.nodes, keyNode)
-	case strings.HasPrefix(c.Key, keyMap):
-		put(n.mapping, keyMap)
-	case strings.HasPrefix(c.Key, keyOwn):
-		put(n.holders, keyOwn)
-		class := classOf(c.Key, keyOwn)
-		n.latestTerms[class] = max(n.latestTerms[class], r.version)
-	case strings.HasPrefix(c.Key, keyLast):
-		if !c.Removed {
-			n.lastOwners[classOf(c.Key, keyLast)] = r.Node
+		n.leader = rec
+	case strings.HasPrefix(change.Key, keyNode):
+		update(n.nodes, keyNode)
+	case strings.HasPrefix(change.Key, keyMapping):
+		update(n.mapping, keyMapping)
+	case strings.HasPrefix(change.Key, keyOwner):
+		update(n.holders, keyOwner)
+		class := nameFromKey(change.Key, keyOwner)
+		n.latestTerms[class] = max(n.latestTerms[class], rec.version)
+	case strings.HasPrefix(change.Key, keyLastOwner):
+		if !change.Removed {
+			n.lastOwners[nameFromKey(change.Key, keyLastOwner)] = rec.Node
 		}
 	default:
 		return
 	}
-	// A key of our own earlier life: that process is dead for sure, so its
-	// lease need not be waited out.
-	if r.Node == n.Name && r.Inc != n.Inc && r.Lease != 0 && !n.endingLeases[r.Lease] {
-		n.endingLeases[r.Lease] = true
-		n.endLease(r.Lease)
+	// The record is of an earlier incarnation of this node. That process has certainly ended, so
+	// its lease can be ended at once instead of waiting for its expiry.
+	if rec.Node == n.Name && rec.Incarnation != n.Incarnation && rec.Lease != 0 && !n.endingLeases[rec.Lease] {
+		n.endingLeases[rec.Lease] = true
+		n.endLease(rec.Lease)
 	}
 }
 
-// IsLeader tells whether this process is the leader.
+// IsLeader reports whether this process is the leader.
 func (n *Node) IsLeader() bool {
-	return n.leader.Node == n.Name && n.leader.Inc == n.Inc && n.LeaseValid()
+	return n.leader.Node == n.Name && n.leader.Incarnation == n.Incarnation && n.LeaseValid()
 }
 
-// Leader names the node that leads, as far as this node knows; empty: none.
+// Leader returns the name of the leader that the mirror shows, or "" if there is none.
 func (n *Node) Leader() string { return n.leader.Node }
 
-// Claims lists what this process owns, whether or not it may act right now.
+// Claims returns the classes that this process owns, whether or not it may act on them right now.
 func (n *Node) Claims() map[string]*Claim { return n.claims }
 
-// MayLaunch tells whether an owner may start work and act on its claims. Under
-// promises it may as well: what it launches then, on machines and for jobs that
-// were recorded before, a successor waits for like any other launch.
+// MayLaunch reports whether an owner may start work and act on its claims. It may do so under
+// extensions too: the machines and jobs were recorded before the outage, so a successor waits for
+// tasks launched during it as for all others.
 func (n *Node) MayLaunch() bool { return n.MayAnswer() }
 
-// MayAnswer tells whether an owner may answer its workers: its lease is valid,
-// or every peer has promised not to take over, and it knows which jobs are cancelled.
+// MayAnswer reports whether an owner may answer its workers. Its information about cancelled jobs
+// must be recent enough, and either its lease is valid or every peer has granted it an extension.
 func (n *Node) MayAnswer() bool {
-	// Guards against an owner that the state service refused alone, while a peer
-	// confirmed cancellations, and that went on under its peers' promises when the
-	// service was then down for all: it kept the cancelled tasks alive.
+	// Without this check, an owner that alone lost the state service would miss cancellations
+	// that a peer confirms. Once the service failed for all nodes too, the owner would continue
+	// under extensions and keep the cancelled tasks running.
 	if n.now >= n.CancellationsKnownThrough()+n.MaxStaleness {
 		return false
 	}
@@ -202,72 +208,74 @@
 	if n.lease == 0 {
 		return false
 	}
-	for _, o := range n.others {
-		if n.now+limits.LeaseMargin >= n.extensions[o] {
+	for _, peer := range n.peers {
+		if n.now+limits.LeaseMargin >= n.extensions[peer] {
 			return false
 		}
 	}
 	return true
 }
 
-// ActUntil is until when an owner that may answer now may do so, as far as is known.
-func (n *Node) ActUntil() time.Duration {
-	knows := n.CancellationsKnownThrough() + n.MaxStaleness
+// AnswerDeadline returns the time, as far as is known now, until which an owner that may answer its
+// workers may continue to do so.
+func (n *Node) AnswerDeadline() time.Duration {
+	staleAt := n.CancellationsKnownThrough() + n.MaxStaleness
 	if n.LeaseValid() {
-		return min(n.leaseEnd, knows)
+		return min(n.leaseEnd, staleAt)
 	}
-	until := min(n.now+limits.ExtensionLife, knows)
-	for _, o := range n.others {
-		until = min(until, n.extensions[o]-limits.LeaseMargin)
+	deadline := min(n.now+limits.ExtensionLife, staleAt)
+	for _, peer := range n.peers {
+		deadline = min(deadline, n.extensions[peer]-limits.LeaseMargin)
 	}
-	return until
+	return deadline
 }
 
-// Owner names the node that workers of a class should report to.
+// Owner returns the node to which workers of a class should report, or "" if there is none: the holder
+// of the class, else the live node to which the class is mapped.
 func (n *Node) Owner(class string) string {
-	if r, ok := n.holders[class]; ok {
-		return r.Node
+	if holder, ok := n.holders[class]; ok {
+		return holder.Node
 	}
-	if r, ok := n.mapping[class]; ok {
-		if _, alive := n.nodes[r.Node]; alive {
-			return r.Node
+	if mapped, ok := n.mapping[class]; ok {
+		if _, alive := n.nodes[mapped.Node]; alive {
+			return mapped.Node
 		}
 	}
 	return ""
 }
 
-// Owners counts the nodes that own classes.
+// Owners returns the set of nodes that own classes.
 func (n *Node) Owners() map[string]bool {
-	m := map[string]bool{}
-	for _, r := range n.holders {
-		m[r.Node] = true
+	owners := map[string]bool{}
+	for _, holder := range n.holders {
+		owners[holder.Node] = true
 	}
-	return m
+	return owners
 }
 
-// Guard is the condition that a write by the owner of class carries.
+// Guard returns the condition that every write by the owner of class carries.
 func (n *Node) Guard(class string) wire.Guard {
 	var term uint64
-	if c := n.claims[class]; c != nil {
-		term = c.Term
+	if claim := n.claims[class]; claim != nil {
+		term = claim.Term
 	}
-	return wire.Guard{Key: keyOwn + classKey(class), Version: term}
+	return wire.Guard{Key: keyOwner + keySegment(class), Version: term}
 }
 
-// Terms lists the terms of our claims by class.
+// Terms returns the terms of this process's claims by class.
 func (n *Node) Terms() map[string]uint64 {
-	m := map[string]uint64{}
-	for c, cl := range n.claims {
-		m[c] = cl.Term
+	terms := map[string]uint64{}
+	for class, claim := range n.claims {
+		terms[class] = claim.Term
 	}
-	return m
+	return terms
 }
 
-// Advance lets time pass without doing anything about it.
+// Advance sets the current time without triggering any work.
 func (n *Node) Advance(now time.Duration) { n.now = max(n.now, now) }
 
-// Tick advances time. classes are the machine types known, demand what the
-// unfinished jobs may use.
+// Tick sets the current time and does the work that is due. classes are the known machine types;
+// demand returns the classes that unfinished jobs may use.
 func (n *Node) Tick(now time.Duration, classes []string, demand func() Demand) {
 	if now > n.now {
 		n.now = now
@@ -276,89 +284,92 @@
 		return
 	}
 	n.keepLease()
-	n.followClaims()
+	n.reconcileClaims()
 	if !n.LeaseValid() {
 		return
 	}
-	n.announce()
+	n.registerNode()
 	n.elect()
 	if n.IsLeader() && n.now >= n.nextRemap && len(classes) > 0 {
 		n.nextRemap = n.now + limits.RemapInterval
 		n.remap(classes, demand())
 		n.raiseFormat()
 	}
-	n.claim()
+	n.claimClasses()
 }
 
 func (n *Node) dropClaims() {
 	for _, class := range slices.Sorted(maps.Keys(n.claims)) {
-		c := n.claims[class]
-		n.log(slog.LevelInfo, "class given up", "class", class, "term", c.Term)
+		claim := n.claims[class]
+		n.log(slog.LevelInfo, "class given up", "class", class, "term", claim.Term)
 		delete(n.claims, class)
 	}
 }
 
-// followClaims makes the claims match the mirror.
-func (n *Node) followClaims() {
+// reconcileClaims updates the claims to match the mirror. It also releases classes that this node
+// holds but that are mapped to another node or being handed over.
+func (n *Node) reconcileClaims() {
 	for _, class := range slices.Sorted(maps.Keys(n.claims)) {
-		c := n.claims[class]
-		r, ok := n.holders[class]
-		if !ok || !n.isOurs(r) || r.version != c.Term || n.mapping[class].Node != n.Name {
-			n.log(slog.LevelInfo, "class given up", "class", class, "term", c.Term)
+		claim := n.claims[class]
+		holder, ok := n.holders[class]
+		if !ok || !n.isOwnRecord(holder) || holder.version != claim.Term || n.mapping[class].Node != n.Name {
+			n.log(slog.LevelInfo, "class given up", "class", class, "term", claim.Term)
 			delete(n.claims, class)
 		}
 	}
 	if !n.LeaseValid() {
 		return
 	}
-	var handed []string
+	var handedOver []string
 	for _, class := range slices.Sorted(maps.Keys(n.holders)) {
-		r := n.holders[class]
-		if !n.isOurs(r) || n.claims[class] != nil {
+		holder := n.holders[class]
+		if !n.isOwnRecord(holder) || n.claims[class] != nil {
 			continue
 		}
 		if n.mapping[class].Node != n.Name {
-			n.submit(keyOwn+class, wire.Txn{
-				Guards: []wire.Guard{{Key: keyOwn + classKey(class), Version: r.version}},
-				Then:   []wire.Op{{Remove: keyOwn + classKey(class)}}})
+			n.submit(keyOwner+class, wire.Txn{
+				Guards: []wire.Guard{{Key: keyOwner + keySegment(class), Version: holder.version}},
+				Then:   []wire.Op{{Remove: keyOwner + keySegment(class)}}})
 			continue
 		}
-		// A term that was handed over is never acted on again, whatever came of
-		// the transaction: orders of ours may still be carried out under it.
-		if n.handingOver[class] == r.version {
-			handed = append(handed, class)
+		// This node never acts on a term again once it has begun to hand it over, even if the
+		// transaction fails: orders that it sent under the term may still be carried out.
+		if n.handingOver[class] == holder.version {
+			handedOver = append(handedOver, class)
 			continue
 		}
-		// What a successor concludes from a term rests on this: an owner knows of all that was
-		// recorded before its term. Guards against a claim that is read, after a 410, in a later
-		// page than a cancellation that was written between the two.
-		if n.store.Mirror.Revision < r.version {
+		// Successors rely on an owner knowing everything that was recorded before its term.
+		// After a 410 the records are reloaded in pages. Without this check, the reload could show
+		// the claim but miss a cancellation that was written before the claim and after the
+		// cancellation's own page was read.
+		if n.store.Mirror.Revision < holder.version {
 			continue
 		}
-		// A peer that holds our promise, or may hold one of an earlier life
-		// of ours, can still be answering the workers.
-		if n.now < n.grantedUntil || !n.pastEarlierGrants(class) {
+		// A peer to which this node granted an extension may still be answering the workers.
+		// The same holds for extensions that earlier incarnations of this node may have granted.
+		if n.now < n.grantedUntil || !n.earlierGrantsEnded(class) {
 			continue
 		}
-		n.claims[class] = &Claim{Class: class, Term: r.version, Since: n.now}
-		n.log(slog.LevelInfo, "class taken over", "class", class, "term", r.version)
+		n.claims[class] = &Claim{Class: class, Term: holder.version, Since: n.now}
+		n.log(slog.LevelInfo, "class taken over", "class", class, "term", holder.version)
 	}
-	n.release(handed)
+	n.release(handedOver)
 }
 
-func (n *Node) ownRecord() holderRecord {
-	return holderRecord{Node: n.Name, Inc: n.Inc, Lease: n.lease}
+func (n *Node) ownRecord() nodeRecord {
+	return nodeRecord{Node: n.Name, Incarnation: n.Incarnation, Lease: n.lease}
 }
 
-// submit sends a transaction about a key, unless one was sent just before.
-func (n *Node) submit(key string, t wire.Txn) {
+// submit sends a transaction unless the retry delay for key is still running.
+func (n *Node) submit(key string, txn wire.Txn) {
 	if n.now < n.retryAt[key] {
 		return
 	}
 	n.retryAt[key] = n.now + limits.RetryClaim
-	n.store.Txn(statestore.Lease, limits.StoreTimeout, t, func(r statestore.Reply) {
-		// The mirror tells the outcome; a refusal may be tried again at once.
-		if r.Refused() {
+	n.store.Txn(statestore.Lease, limits.StoreTimeout, txn, func(reply statestore.Reply) {
+		// The mirror shows the outcome. A refused transaction was not executed, so it may be
+		// retried after the shorter backoff.
+		if reply.Refused() {
 			n.retryAt[key] = n.now + limits.StoreBackoff
 		}
 	})
--- a/internal/ownership/rduc.go
+++ b/internal/ownership/rduc.go
@@ -5,42 +5,41 @@
 	"slices"
 )
 
-// Demand maps each team with unfinished jobs to the machine classes that those
-// jobs may use.
+// Demand maps each team that has unfinished jobs to the machine classes that those jobs may use.
 type Demand map[string]map[string]bool
 
-// RDUCs groups the demanded classes into resource-dependent user clusters: the
-// connected components of the graph that links teams sharing a class (paper,
-// II-C), found by breadth-first search (III-A). Each group is sorted, and the
-// groups are sorted by their first class, so equal demands give equal results.
-func RDUCs(d Demand) [][]string {
+// RDUCs groups the demanded classes into resource-dependent user clusters: the connected components
+// of the graph that links teams sharing a class (section II-C of the paper), found by breadth-first
+// search (section III-A). Each group is sorted, and the groups are sorted by their first class, so
+// equal demands give equal results.
+func RDUCs(demand Demand) [][]string {
 	teamsOf := map[string][]string{}
-	for team, classes := range d {
-		for c := range classes {
-			teamsOf[c] = append(teamsOf[c], team)
+	for team, classes := range demand {
+		for class := range classes {
+			teamsOf[class] = append(teamsOf[class], team)
 		}
 	}
 	seen := map[string]bool{}
 	var groups [][]string
 	for _, class := range slices.Sorted(maps.Keys(teamsOf)) {
 		if !seen[class] {
-			groups = append(groups, d.connected(class, teamsOf, seen))
+			groups = append(groups, demand.connectedClasses(class, teamsOf, seen))
 		}
 	}
 	return groups
 }
 
-// connected lists, sorted, the classes that teams link with the given one, and marks them as
-// seen.
-func (d Demand) connected(class string, teamsOf map[string][]string, seen map[string]bool) []string {
+// connectedClasses returns, sorted, the classes that are linked with the given one through teams,
+// directly or over other classes. It marks them in seen.
+func (d Demand) connectedClasses(class string, teamsOf map[string][]string, seen map[string]bool) []string {
 	seen[class] = true
 	queue := []string{class}
 	for i := 0; i < len(queue); i++ {
 		for _, team := range teamsOf[queue[i]] {
-			for c := range d[team] {
-				if !seen[c] {
-					seen[c] = true
-					queue = append(queue, c)
+			for linked := range d[team] {
+				if !seen[linked] {
+					seen[linked] = true
+					queue = append(queue, linked)
 				}
 			}
 		}
@@ -49,16 +48,16 @@
 	return queue
 }
 
-// Assign maps every class to a node. groups are the RDUCs, classes all known
-// classes, owner the present owner or mapping of each class, alive the live
-// nodes. Owners stay where they are; an RDUC in several hands goes to the hand
-// with most of its classes; one in none goes to the node with the fewest
-// groups, the leader on a tie; a class that nobody demands and nobody holds
-// goes to the leader.
+// Assign maps every class to a node. groups are the RDUCs, classes all known classes, owner the present
+// owner or mapping of each class, and alive the live nodes.
+//
+// An RDUC stays with its owner; if it has several owners, the live one that has most of its classes gets
+// all of them. An RDUC without a live owner goes to the node with the fewest RDUCs, the leader on a tie.
+// A class without demand stays with its live owner, or else goes to the leader.
 func Assign(groups [][]string, classes []string, owner map[string]string, alive map[string]bool, leader string) map[string]string {
 	result := map[string]string{}
 	load := map[string]int{}
-	give := func(group []string, node string) {
+	assign := func(group []string, node string) {
 		load[node]++
 		for _, class := range group {
 			result[class] = node
@@ -67,7 +66,7 @@
 	var unowned [][]string
 	for _, group := range groups {
 		if node := majorityOwner(group, owner, alive); node != "" {
-			give(group, node)
+			assign(group, node)
 		} else {
 			unowned = append(unowned, group)
 		}
@@ -80,7 +79,7 @@
 				least = node
 			}
 		}
-		give(group, least)
+		assign(group, least)
 	}
 	for _, class := range classes {
 		if _, mapped := result[class]; mapped {
@@ -94,18 +93,18 @@
 	return result
 }
 
-// majorityOwner is the live node that owns most classes of a group, the first in name among
-// equals, or nobody.
+// majorityOwner returns the live node that owns most classes of a group, or "" if no live node owns
+// any. On a tie it returns the first node by name.
 func majorityOwner(group []string, owner map[string]string, alive map[string]bool) string {
-	votes := map[string]int{}
+	owned := map[string]int{}
 	for _, class := range group {
 		if node := owner[class]; alive[node] {
-			votes[node]++
+			owned[node]++
 		}
 	}
 	best := ""
-	for _, node := range slices.Sorted(maps.Keys(votes)) {
-		if best == "" || votes[node] > votes[best] {
+	for _, node := range slices.Sorted(maps.Keys(owned)) {
+		if best == "" || owned[node] > owned[best] {
 			best = node
 		}
 	}
--- a/internal/ownership/rduc_test.go
+++ b/internal/ownership/rduc_test.go
@@ -6,18 +6,18 @@
 )
 
 func set(names ...string) map[string]bool {
-	m := map[string]bool{}
-	for _, n := range names {
-		m[n] = true
+	members := map[string]bool{}
+	for _, name := range names {
+		members[name] = true
 	}
-	return m
+	return members
 }
 
 func TestRDUCsAreConnectedComponents(t *testing.T) {
-	// The example of the paper's figure 1: three users chained by the classes
-	// that they share, and one on a class of its own.
-	d := Demand{"u1": set("hadoop", "standard"), "u2": set("standard", "public-ip"), "u3": set("public-ip"), "u4": set("high-memory")}
-	got := RDUCs(d)
+	// The example in figure 1 of the paper: three users are linked through shared classes, and a
+	// fourth uses a class of its own.
+	demand := Demand{"u1": set("hadoop", "standard"), "u2": set("standard", "public-ip"), "u3": set("public-ip"), "u4": set("high-memory")}
+	got := RDUCs(demand)
 	want := [][]string{{"hadoop", "public-ip", "standard"}, {"high-memory"}}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got %v, want %v", got, want)
@@ -34,6 +34,6 @@
 	}
 	got = Assign([][]string{{"x"}, {"y"}}, []string{"x", "y"}, map[string]string{"x": "dead", "y": "a"}, alive, "a")
 	if got["x"] != "b" || got["y"] != "a" {
-		t.Errorf("an orphaned group should go to the least loaded node: %v", got)
+		t.Errorf("got %v, want the group without a live owner on the least loaded node", got)
 	}
 }
