--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -21,7 +21,7 @@
 	}
 	c.lastArrival = c.now.Steady
 	// A late report of a deleted machine must not register the machine again.
-	if !c.ownership.MayAnswer() || c.fleet.IsGone(report.Machine) || report.Machine == "" {
+	if !c.ownership.MayAnswer() || c.fleet.IsDeleted(report.Machine) || report.Machine == "" {
 		c.refuseReport(checkin)
 		return
 	}
@@ -55,7 +55,7 @@
 func (c *Core) receiveReport(report *wire.Report, term uint64) (machine *workers.Machine, reportVerdict workers.Verdict) {
 	var wasAdopted, wasRecalled, alreadyReported bool
 	if machine := c.pool.Machines[report.Machine]; machine != nil {
-		wasAdopted, wasRecalled, alreadyReported = machine.Adopted, machine.Recall != 0, machine.Term == term
+		wasAdopted, wasRecalled, alreadyReported = machine.Adopted, machine.RecallAt != 0, machine.Term == term
 	}
 	machine, reportVerdict = c.pool.Receive(c.now.Steady, report, term, c.ownership.Claims()[report.Type].Since)
 	if reportVerdict == workers.Stale || reportVerdict == workers.Deposed {
@@ -65,9 +65,9 @@
 		c.jobsChanged, c.fleetChanged = true, true
 	}
 	c.recordReportTime(machine, alreadyReported)
-	c.links.workerHeard(report.Type, report.Zone, c.pool.Report, c.now.Steady)
-	if machine.Recall != 0 && !wasRecalled && machine.Spot {
-		c.fleet.SpotLost()
+	c.links.recordWorkerReport(report.Type, report.Zone, c.pool.ReportInterval, c.now.Steady)
+	if machine.RecallAt != 0 && !wasRecalled && machine.Spot {
+		c.fleet.RecordSpotLoss()
 	}
 	if rental := c.fleet.Track(report.Machine, fleet.Kind{Class: report.Type, Zone: report.Zone, Spot: report.Spot}, c.now.Steady); rental != nil {
 		rental.Up = true
@@ -184,7 +184,7 @@
 			c.stopGang(job, machine)
 		}
 		return c.shouldStopGangTask(job, report)
-	case machine.Recall != 0 && c.cannotFinish(machine, job, task, report.State):
+	case machine.RecallAt != 0 && c.cannotFinish(machine, job, task, report.State):
 		return true, 0
 	case report.State == wire.TaskRunning && (c.mustSave(machine, job) || c.mustPreempt(machine.ID, report.Task, report.Attempt)):
 		return true, job.SaveS + 1
@@ -205,25 +205,25 @@
 // mustSave reports whether a task that can save its state must do so now, before the cloud takes
 // its machine.
 func (c *Core) mustSave(machine *workers.Machine, job *jobs.Job) bool {
-	if machine.Recall == 0 || job.CheckS <= 0 {
+	if machine.RecallAt == 0 || job.CheckpointS <= 0 {
 		return false
 	}
-	remaining := machine.Recall - c.now.Steady
-	required := limits.Seconds(job.SaveS) + limits.DrainSpare + c.pool.Report*5/4
+	remaining := machine.RecallAt - c.now.Steady
+	required := limits.Seconds(job.SaveS) + limits.DrainMargin + c.pool.ReportInterval*5/4
 	return remaining <= required
 }
 
 // cannotFinish reports whether a task that never saves its state will not finish before the cloud
 // takes its machine. Such a task should start over on another machine at once.
 func (c *Core) cannotFinish(machine *workers.Machine, job *jobs.Job, task int, state wire.TaskState) bool {
-	if job.CheckS > 0 || state == wire.TaskSaving {
+	if job.CheckpointS > 0 || state == wire.TaskSaving {
 		return false
 	}
 	remainingS := job.EstimateS
 	if assignment := job.Assigned[task]; state == wire.TaskRunning {
-		remainingS = max(remainingS-(c.now.Steady-assignment.RunningSince).Seconds(), limits.LeastLeft*job.EstimateS)
+		remainingS = max(remainingS-(c.now.Steady-assignment.RunningSince).Seconds(), limits.MinRemainingShare*job.EstimateS)
 	}
-	return remainingS > (machine.Recall - c.now.Steady).Seconds()
+	return remainingS > (machine.RecallAt - c.now.Steady).Seconds()
 }
 
 // launchCommands appends launch commands for the tasks planned for a machine.
@@ -234,7 +234,7 @@
 		if len(commands) >= limits.MaxCommands {
 			break
 		}
-		if ref.job.Cancelled || !machine.Usable(c.now.Steady, c.pool.Report) {
+		if ref.job.Cancelled || !machine.Usable(c.now.Steady, c.pool.ReportInterval) {
 			c.unassign(ref.job, ref.task)
 			continue
 		}
--- a/internal/controller/request_bodies_test.go
+++ b/internal/controller/request_bodies_test.go
@@ -18,7 +18,7 @@
 // TestBodiesAreReadWhole: bodies of any length up to the limit arrive as they were sent, and one
 // byte more is refused.
 func TestBodiesAreReadWhole(t *testing.T) {
-	for _, length := range []int{0, 1, limits.DeclaredBodyBytes, limits.DeclaredBodyBytes + 1, limits.MaxBodyBytes} {
+	for _, length := range []int{0, 1, limits.MaxPreallocatedBodyBytes, limits.MaxPreallocatedBodyBytes + 1, limits.MaxBodyBytes} {
 		body := bytes.Repeat([]byte{'x'}, length)
 		got, ok := readBody(httptest.NewRecorder(), httptest.NewRequest("POST", "/checkin", bytes.NewReader(body)))
 		if !ok || !bytes.Equal(got, body) {
--- a/internal/controller/resources.go
+++ b/internal/controller/resources.go
@@ -18,32 +18,32 @@
 	metricIdleCPU    = "/cpu/classes/idle:cpu-seconds"
 )
 
-// ResourceUse is what a controller holds of its budget at one moment.
-type ResourceUse struct {
+// ResourceUsage is the resource usage of a controller at one moment.
+type ResourceUsage struct {
 	HeapBytes   uint64  // bytes of heap objects that the last garbage collection found live
 	Goroutines  uint64  // goroutines of the process
 	Connections int64   // open connections on the API port and to workers
-	GCShare     float64 // part of the processor time used since the last check that the garbage collector took
+	GCShare     float64 // fraction of the processor time since the last check that the garbage collector used
 }
 
-// ResourceCounters count the times that a controller came near a budget; they only grow.
+// ResourceCounters count how often a controller was near a budget. They never decrease.
 type ResourceCounters struct {
-	NearMemory  atomic.Int64 // checks that found the heap at limits.BudgetWarning of its limit or above
-	NearSockets atomic.Int64 // checks that found the connections at limits.BudgetWarning of max_sockets or above
+	NearMemory  atomic.Int64 // checks that found the heap at limits.BudgetWarningShare of its limit or above
+	NearSockets atomic.Int64 // checks that found the connections at limits.BudgetWarningShare of max_sockets or above
 }
 
-// resourceMonitor reads the runtime's metrics now and then, logs what it found, and
-// warns when the process nears its memory or socket budget.
+// resourceMonitor reads the runtime's metrics, logs the resource usage, and warns when the process comes
+// near its memory or socket budget.
 type resourceMonitor struct {
-	samples     []metrics.Sample
-	heapLimit   uint64 // bytes that the heap may take, from ram_mb
-	socketLimit int64  // max_sockets
-	gcBefore    float64
-	busyBefore  float64
-	nextLog     time.Duration
-	nearMemory  bool // the last check found the heap near its limit
-	nearSockets bool // the last check found the connections near max_sockets
-	counters    *ResourceCounters
+	samples         []metrics.Sample
+	heapLimit       uint64 // in bytes, derived from ram_mb
+	socketLimit     int64  // max_sockets
+	lastGCSeconds   float64
+	lastBusySeconds float64
+	nextLog         time.Duration
+	nearMemory      bool // the last check found the heap near its limit
+	nearSockets     bool // the last check found the connections near max_sockets
+	counters        *ResourceCounters
 }
 
 func newResourceMonitor(heapLimit uint64, socketLimit int64, counters *ResourceCounters) *resourceMonitor {
@@ -55,8 +55,8 @@
 	return &resourceMonitor{samples: samples, heapLimit: heapLimit, socketLimit: socketLimit, counters: counters}
 }
 
-// read takes the runtime's metrics and the open connections, of both directions.
-func (r *resourceMonitor) read(connections int64) ResourceUse {
+// read returns the resource usage. connections is the number of open connections in both directions.
+func (r *resourceMonitor) read(connections int64) ResourceUsage {
 	metrics.Read(r.samples)
 	value := func(i int) float64 {
 		if r.samples[i].Value.Kind() == metrics.KindFloat64 {
@@ -70,30 +70,30 @@
 		}
 		return 0
 	}
-	gc, busy := value(2), value(3)-value(4)
-	use := ResourceUse{HeapBytes: count(0), Goroutines: count(1), Connections: connections}
-	if busy > r.busyBefore {
-		use.GCShare = (gc - r.gcBefore) / (busy - r.busyBefore)
+	gcSeconds, busySeconds := value(2), value(3)-value(4)
+	usage := ResourceUsage{HeapBytes: count(0), Goroutines: count(1), Connections: connections}
+	if busySeconds > r.lastBusySeconds {
+		usage.GCShare = (gcSeconds - r.lastGCSeconds) / (busySeconds - r.lastBusySeconds)
 	}
-	r.gcBefore, r.busyBefore = gc, busy
-	return use
+	r.lastGCSeconds, r.lastBusySeconds = gcSeconds, busySeconds
+	return usage
 }
 
-// check judges one reading: a warning when a budget is first neared, a line of
-// what is held every limits.ResourceLogInterval.
-func (r *resourceMonitor) check(now time.Duration, use ResourceUse, log *slog.Logger) {
-	nearMemory := r.heapLimit > 0 && float64(use.HeapBytes) >= limits.BudgetWarning*float64(r.heapLimit)
-	nearSockets := r.socketLimit > 0 && float64(use.Connections) >= limits.BudgetWarning*float64(r.socketLimit)
+// check warns if the usage has come near a budget since the last check, and logs the usage every
+// limits.ResourceLogInterval.
+func (r *resourceMonitor) check(now time.Duration, usage ResourceUsage, log *slog.Logger) {
+	nearMemory := r.heapLimit > 0 && float64(usage.HeapBytes) >= limits.BudgetWarningShare*float64(r.heapLimit)
+	nearSockets := r.socketLimit > 0 && float64(usage.Connections) >= limits.BudgetWarningShare*float64(r.socketLimit)
 	if nearMemory {
 		r.counters.NearMemory.Add(1)
 		if !r.nearMemory {
-			log.Warn("near the memory budget", "heapMB", megabytes(use.HeapBytes), "heapLimitMB", megabytes(r.heapLimit))
+			log.Warn("near the memory budget", "heapMB", megabytes(usage.HeapBytes), "heapLimitMB", megabytes(r.heapLimit))
 		}
 	}
 	if nearSockets {
 		r.counters.NearSockets.Add(1)
 		if !r.nearSockets {
-			log.Warn("near the socket budget", "connections", use.Connections, "maxSockets", r.socketLimit)
+			log.Warn("near the socket budget", "connections", usage.Connections, "maxSockets", r.socketLimit)
 		}
 	}
 	r.nearMemory, r.nearSockets = nearMemory, nearSockets
@@ -101,10 +101,10 @@
 		return
 	}
 	r.nextLog = now + limits.ResourceLogInterval
-	log.Info("resources", "heapMB", megabytes(use.HeapBytes), "heapLimitMB", megabytes(r.heapLimit), "gcShare", use.GCShare,
-		"goroutines", use.Goroutines, "connections", use.Connections, "maxSockets", r.socketLimit,
+	log.Info("resources", "heapMB", megabytes(usage.HeapBytes), "heapLimitMB", megabytes(r.heapLimit), "gcShare", usage.GCShare,
+		"goroutines", usage.Goroutines, "connections", usage.Connections, "maxSockets", r.socketLimit,
 		"nearMemoryChecks", r.counters.NearMemory.Load(), "nearSocketChecks", r.counters.NearSockets.Load())
 }
 
 // megabytes converts bytes to MB, rounded to a tenth.
-func megabytes(b uint64) float64 { return float64(b*10/(1<<20)) / 10 }
+func megabytes(bytes uint64) float64 { return float64(bytes*10/(1<<20)) / 10 }
--- a/internal/controller/resources_test.go
+++ b/internal/controller/resources_test.go
@@ -25,7 +25,7 @@
 	log := slog.New(slog.NewTextHandler(&out, &slog.HandlerOptions{Level: slog.LevelWarn}))
 	counters := &ResourceCounters{}
 	r := newResourceMonitor(100<<20, 1000, counters)
-	uses := []ResourceUse{
+	uses := []ResourceUsage{
 		{HeapBytes: 10 << 20, Connections: 100},
 		{HeapBytes: 90 << 20, Connections: 100},
 		{HeapBytes: 95 << 20, Connections: 900},
@@ -56,7 +56,7 @@
 func TestResourcesAreRead(t *testing.T) {
 	set := &config.Settings{}
 	set.Cluster.Resources.RAMMB, set.Cluster.Resources.MaxSockets = 65, 900
-	s := &Server{set: set}
+	s := &Server{settings: set}
 	if got, want := s.heapLimit(), uint64(65*(1<<20)*0.7); got != want {
 		t.Errorf("heap limit %d, want %d", got, want)
 	}
@@ -85,9 +85,9 @@
 	}()
 	set := &config.Settings{}
 	set.Cluster.Resources.RAMMB = 65
-	s := &Server{set: set}
-	s.FitMachine()
-	if got, want := debug.SetMemoryLimit(-1), int64(65*(1<<20)*limits.MemoryUse); got != want {
+	s := &Server{settings: set}
+	s.ConfigureRuntime()
+	if got, want := debug.SetMemoryLimit(-1), int64(65*(1<<20)*limits.HeapLimitShare); got != want {
 		t.Errorf("memory limit %d bytes, want %d", got, want)
 	}
 	if got := debug.SetGCPercent(percentBefore); got != limits.GCPercent {
--- a/internal/controller/safe_test.go
+++ b/internal/controller/safe_test.go
@@ -17,7 +17,7 @@
 	set.Cluster.State.RPS, set.Cluster.State.WriteRPS, set.Cluster.State.TxnOps, set.Cluster.State.ValueKB = 100, 100, 8, 4
 	set.Cluster.Cloud.RPS = 5
 	set.Cluster.Objectives = []config.Objective{{Kind: "finished", Class: "batch", WithinS: 150}}
-	c := NewCore(set, &config.Operator{}, Now{Steady: time.Second, Unix: 1000}, 1)
+	c := NewCore(set, &config.OperatorSettings{}, Now{Steady: time.Second, Unix: 1000}, 1)
 	for _, x := range []struct {
 		name  string
 		class string
@@ -35,7 +35,7 @@
 		{"too late in any case", "batch", 90, 100, 0, 100, false},
 		{"no target", "other", 90, 100, 0, 0, false},
 	} {
-		j := &jobs.Job{Job: &wire.Job{Class: x.class, Tasks: x.tasks, EstimateS: x.est, CheckS: x.saves, SubmitUnix: 1000 - x.age}}
+		j := &jobs.Job{Job: &wire.Job{Class: x.class, Tasks: x.tasks, EstimateS: x.est, CheckpointS: x.saves, SubmitUnix: 1000 - x.age}}
 		if got := c.avoidsSpot(j); got != x.safe {
 			t.Errorf("%s: safe %v", x.name, got)
 		}
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -38,10 +38,10 @@
 		if recorded && !machine.Resolved() {
 			unresolved = unresolved.Add(typeCapacity(machineType), 1)
 		}
-		if machine.Adopted && !machine.Lost {
+		if machine.Adopted && !machine.LeaseExpired {
 			counts[machineType]++
 		}
-		if !machine.Usable(c.now.Steady, c.pool.Report) || (!recorded && !forFleetPlan) {
+		if !machine.Usable(c.now.Steady, c.pool.ReportInterval) || (!recorded && !forFleetPlan) {
 			continue
 		}
 		view := c.machineView(machine, machineType)
@@ -66,7 +66,7 @@
 // machineView refreshes and returns the allocation's view of a machine.
 func (c *Core) machineView(machine *workers.Machine, machineType *wire.MachineType) *allocation.Machine {
 	load := c.loadOf(machine.ID)
-	load.view = allocation.Machine{GangsOnly: c.gangOnlyMachines[machine.ID], ID: machine.ID, Class: machine.Class, Zone: machine.Zone, Spot: machine.Spot, Size: typeCapacity(machineType), Free: typeCapacity(machineType).Add(load.used, -1), FetchGBps: machineType.FetchGBps, Images: machine.Images, Busy: len(load.tasks) > 0}
+	load.view = allocation.Machine{GangsOnly: c.gangOnlyMachines[machine.ID], ID: machine.ID, Class: machine.Class, Zone: machine.Zone, Spot: machine.Spot, Capacity: typeCapacity(machineType), Free: typeCapacity(machineType).Add(load.used, -1), FetchGBps: machineType.FetchGBps, Images: machine.Images, Busy: len(load.tasks) > 0}
 	return &load.view
 }
 
@@ -141,14 +141,14 @@
 func (c *Core) unitOf(job *jobs.Job) *allocation.Unit {
 	unit := &allocation.Unit{Job: job.ID, Need: taskResources(job), Count: job.Waiting(), Image: job.Image, Classes: job.TypeSet, Shape: job.PlacementKey, Zone: job.Zone, Spot: job.Spot,
 		OneZone: job.OneZone, Spread: job.Spread, Tasks: job.Tasks, StartWithin: c.startWithin(job), ImageGB: job.ImageGB,
-		Safe: c.avoidsSpot(job), Urgent: job.Urgency >= wire.UrgencyUrgent, Low: job.Urgency == wire.UrgencyLow}
+		PreferOnDemand: c.avoidsSpot(job), Urgent: job.Urgency >= wire.UrgencyUrgent, LowPriority: job.Urgency == wire.UrgencyLow}
 	if !job.OneZone && !job.Spread {
 		return unit
 	}
-	unit.ByZone = map[string]int{}
+	unit.PlacedByZone = map[string]int{}
 	for _, assignment := range job.Assigned {
 		if machine := c.pool.Machines[assignment.Machine]; machine != nil {
-			unit.ByZone[machine.Zone]++
+			unit.PlacedByZone[machine.Zone]++
 		}
 	}
 	return unit
@@ -162,14 +162,14 @@
 	case job.Gang:
 		return c.limitGangUnit(unit, job, endedTaskMachines)
 	case job.Faulty():
-		unit.Count = min(unit.Count, limits.BadJobSlots-len(job.Assigned))
+		unit.Count = min(unit.Count, limits.MaxFaultyJobTasks-len(job.Assigned))
 	case c.startOverdue(job):
 		// Priority over other jobs lasts only until the job's first task has started.
 		unit.Overdue = true
-		unit.Avoid = job.FailedOn
-		unit.Count = min(unit.Count, limits.BeginTasks-len(job.Assigned))
+		unit.ExcludedMachines = job.FailedOn
+		unit.Count = min(unit.Count, limits.MaxOverdueStartTasks-len(job.Assigned))
 	default:
-		unit.Avoid = job.FailedOn
+		unit.ExcludedMachines = job.FailedOn
 	}
 	return unit.Count > 0
 }
@@ -178,19 +178,19 @@
 // tasks without checkpoints that would miss their target after the loss of a spot machine, or
 // that run so long that they would be restarted again and again.
 func (c *Core) avoidsSpot(job *jobs.Job) bool {
-	if job.CheckS > 0 {
+	if job.CheckpointS > 0 {
 		return false
 	}
 	risk := c.fleet.SpotRisk(job.EstimateS)
-	if (job.DeadlineS > 0 && risk > limits.SafeRisk) || risk > limits.LongRisk {
+	if (job.DeadlineS > 0 && risk > limits.MaxDeadlineSpotRisk) || risk > limits.MaxSpotRisk {
 		return true
 	}
 	// Without this check, a batch of a hundred long tasks misses its target when a single task
 	// is lost with its spot machine and has to restart.
 	secondsLeft, canMeetTarget := c.timeLeft(job)
-	longRunS := limits.EstimateError * job.EstimateS
+	longRunS := limits.EstimateErrorFactor * job.EstimateS
 	canRedo := secondsLeft >= 2*longRunS+limits.RedoSlack.Seconds()
-	return canMeetTarget && !canRedo && 1-math.Pow(1-risk, float64(job.Tasks-job.DoneCount)) > limits.LateRisk
+	return canMeetTarget && !canRedo && 1-math.Pow(1-risk, float64(job.Tasks-job.DoneCount)) > limits.MaxLateRisk
 }
 
 // largestUnits returns, by class, the largest unit that unfinished jobs may request.
@@ -217,20 +217,20 @@
 
 // allocate assigns waiting tasks to machines. The assignments are sent directly or with the
 // response to each machine's next report. A run over all machines and jobs takes a millisecond
-// in a large fleet, so there is at most one every RoundInterval; resources that a single report
+// in a large fleet, so there is at most one every SchedulingInterval; resources that a single report
 // frees in between are filled immediately by allocateOnMachine.
 func (c *Core) allocate() {
 	if !c.schedulingDue || !c.ownership.MayLaunch() || c.now.Steady < c.nextRound {
 		return
 	}
 	c.schedulingDue = false
-	c.nextRound = c.now.Steady + limits.RoundInterval
+	c.nextRound = c.now.Steady + limits.SchedulingInterval
 	c.prepareJobs()
 	machines, capacity, unresolved := c.availableMachines(false)
 	c.reserveForGangs(machines)
 	newRound := &schedulingRound{teams: c.teamDemands(false, unresolved), capacity: capacity, largest: c.largestUnits()}
 	c.lastRound = newRound
-	newRound.held = allocation.HoldRoom(newRound.teams, machines, 1+int(limits.HoldShare*float64(len(machines))))
+	newRound.held = allocation.ReserveForOverdue(newRound.teams, machines, 1+int(limits.MaxHeldShare*float64(len(machines))))
 	pending := c.holdPreempted(machines, newRound.held)
 	c.runAllocation(newRound, machines)
 	c.preemptBorrowed(newRound, machines, pending)
@@ -257,7 +257,7 @@
 // allocation run left waiting.
 func (c *Core) allocateOnMachine(machine *workers.Machine) {
 	machineType := c.fleet.Types[machine.Class]
-	if c.lastRound == nil || c.lastRound.held[machine.ID] || machineType == nil || !c.machineRecords[machine.ID].Up || !machine.Usable(c.now.Steady, c.pool.Report) {
+	if c.lastRound == nil || c.lastRound.held[machine.ID] || machineType == nil || !c.machineRecords[machine.ID].Up || !machine.Usable(c.now.Steady, c.pool.ReportInterval) {
 		return
 	}
 	waiting := false
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -16,133 +16,132 @@
 	"umberpaddle/internal/limits"
 )
 
-// inboxEvent is an input on its way to the loop; the answer, if one is expected,
-// comes back on the channel.
+// inboxEvent is an input that is queued for the event loop. An input that expects an answer is created
+// by newInput when the event loop takes the event, and its answer is sent on the channel.
 type inboxEvent struct {
-	in       Input
+	input    Input
 	answer   chan Answer
 	newInput func(ref uint64) Input
-	ctx      context.Context // of a user who may stop waiting; nil: none
-	asker    *Core           // the core whose call this is the reply to; nil: no reply
+	ctx      context.Context // of the request: ends when a user stops waiting for a status query; nil if no answer is expected
+	caller   *Core           // the core that made the call to which this is the reply; nil: not a reply
 }
 
-// Server is the loop that owns the core, and the sockets around it.
+// Server is a controller process: it runs the event loop, which owns the core, and the sockets.
 type Server struct {
-	set   *config.Settings
-	core  *Core
-	inbox chan inboxEvent
-	// questions are users' questions about jobs: a stage of their own with a small
-	// buffer, from which the loop takes only when nothing else waits.
-	questions       chan inboxEvent
-	start           time.Time
-	log             *slog.Logger
-	refs            map[uint64]chan Answer
-	ref             uint64
-	state           *http.Client
-	cloud           *http.Client
-	workers         *http.Client
-	peers           map[string]*peer
-	conns           atomic.Int64 // connections that others opened to this node
-	orderConns      atomic.Int64 // connections to workers, for direct orders
-	keepAliveLimit  int64        // above this many connections users' are not kept open
-	connectionLimit int64        // above this many connections new ones are closed
-	ctx             context.Context
-	resources       *resourceMonitor
-	nextResourceAt  time.Duration
-	// Counters tell how often the process came near its budgets.
+	settings *config.Settings
+	core     *Core
+	inbox    chan inboxEvent
+	// queries holds users' status queries. They have their own small queue, which the event loop
+	// reads only when no other event waits.
+	queries           chan inboxEvent
+	start             time.Time
+	log               *slog.Logger
+	pendingAnswers    map[uint64]chan Answer
+	lastRef           uint64
+	stateClient       *http.Client
+	cloudClient       *http.Client
+	workerClient      *http.Client
+	peers             map[string]*peerClient
+	inboundConns      atomic.Int64 // open connections that clients made to the API port
+	orderConns        atomic.Int64 // open connections to workers, for direct orders
+	keepAliveLimit    int64        // above this number of connections, users' connections are closed after each response
+	connectionLimit   int64        // from this number of connections on, new ones are closed at once
+	ctx               context.Context
+	resources         *resourceMonitor
+	nextResourceCheck time.Duration
+	// Counters count how often the process came near its budgets.
 	Counters ResourceCounters
 }
 
-// NewServer prepares a controller process.
-func NewServer(set *config.Settings, ops *config.Operator, log *slog.Logger) *Server {
-	s := &Server{set: set, inbox: make(chan inboxEvent, limits.Inbox), questions: make(chan inboxEvent, limits.Questions), start: time.Now(), log: log,
-		refs: map[uint64]chan Answer{}, peers: map[string]*peer{}}
-	sockets := float64(set.Cluster.Resources.MaxSockets)
-	s.keepAliveLimit = int64(sockets * (1 - limits.SocketReserve))
-	s.connectionLimit = int64(sockets * (1 - limits.SocketReserve/4))
-	s.state = &http.Client{Transport: transport(limits.StoreInFlight + 4)}
-	s.cloud = &http.Client{Transport: transport(4)}
-	s.workers = &http.Client{Transport: s.orderTransport()}
-	for _, p := range set.Others {
-		s.peers[p.Label] = &peer{addr: p.Addr}
+// NewServer returns a controller process that is ready to Run.
+func NewServer(settings *config.Settings, operatorSettings *config.OperatorSettings, log *slog.Logger) *Server {
+	s := &Server{settings: settings, inbox: make(chan inboxEvent, limits.InboxSize), queries: make(chan inboxEvent, limits.QueryQueueSize), start: time.Now(), log: log,
+		pendingAnswers: map[uint64]chan Answer{}, peers: map[string]*peerClient{}}
+	sockets := float64(settings.Cluster.Resources.MaxSockets)
+	s.keepAliveLimit = int64(sockets * (1 - limits.SocketReserveShare))
+	s.connectionLimit = int64(sockets * (1 - limits.SocketReserveShare/4))
+	s.stateClient = &http.Client{Transport: newTransport(limits.MaxStoreInFlight + 4)}
+	s.cloudClient = &http.Client{Transport: newTransport(4)}
+	s.workerClient = &http.Client{Transport: s.newOrderTransport()}
+	for _, other := range settings.Others {
+		s.peers[other.Label] = &peerClient{addr: other.Addr}
 	}
-	s.core = NewCore(set, ops, s.now(), rand.Uint64()>>1|1)
-	s.resources = newResourceMonitor(s.heapLimit(), int64(set.Cluster.Resources.MaxSockets), &s.Counters)
+	s.core = NewCore(settings, operatorSettings, s.now(), rand.Uint64()>>1|1)
+	s.resources = newResourceMonitor(s.heapLimit(), int64(settings.Cluster.Resources.MaxSockets), &s.Counters)
 	return s
 }
 
-// heapLimit is how many bytes the Go heap may take of the memory that the settings give.
+// heapLimit returns how many bytes of ram_mb the Go heap may take.
 func (s *Server) heapLimit() uint64 {
-	return uint64(s.set.Cluster.Resources.RAMMB * (1 << 20) * limits.MemoryUse)
+	return uint64(s.settings.Cluster.Resources.RAMMB * (1 << 20) * limits.HeapLimitShare)
 }
 
-// idle is for how long a connection to this node may be without a request. Guards
-// against sockets used up by workers that left theirs behind in a cut and came back
-// on new ones, several times over.
-func (s *Server) idle() time.Duration {
-	return max(limits.UserIdle, limits.Seconds(limits.IdleReports*s.set.Cluster.Workers.ReportS))
+// idleTimeout returns how long a client connection may stay open without a request. Without it, workers
+// that reconnect after network failures and leave their old connections open would use up the sockets.
+func (s *Server) idleTimeout() time.Duration {
+	return max(limits.UserIdleTimeout, limits.Seconds(limits.IdleReports*s.settings.Cluster.Workers.ReportS))
 }
 
 func (s *Server) now() Now {
-	t := time.Now()
-	return Now{Steady: t.Sub(s.start), Unix: float64(t.UnixNano()) / 1e9}
+	current := time.Now()
+	return Now{Steady: current.Sub(s.start), Unix: float64(current.UnixNano()) / 1e9}
 }
 
-// FitMachine fits the process to the machine that the settings tell of: one thread
-// runs at a time there, and memory is scarce: the heap is bounded by the
-// settings, and collections are rarer than by default while it is far below that.
-func (s *Server) FitMachine() {
+// ConfigureRuntime sets up the Go runtime for a small machine. One thread runs Go code at a time, the
+// heap is limited to heapLimit because memory is scarce, and collections are rarer than by default while
+// the heap is far below that limit.
+func (s *Server) ConfigureRuntime() {
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(int64(s.heapLimit()))
 	debug.SetGCPercent(limits.GCPercent)
 }
 
-// checkResources reads what the process holds, now and then, and warns near a budget.
+// checkResources reads the resource usage every limits.ResourceCheckInterval and warns near a budget.
 func (s *Server) checkResources() {
 	now := s.now().Steady
-	if now < s.nextResourceAt {
+	if now < s.nextResourceCheck {
 		return
 	}
-	s.nextResourceAt = now + limits.ResourceCheckInterval
-	s.resources.check(now, s.resources.read(s.conns.Load()+s.orderConns.Load()), s.log)
+	s.nextResourceCheck = now + limits.ResourceCheckInterval
+	s.resources.check(now, s.resources.read(s.inboundConns.Load()+s.orderConns.Load()), s.log)
 }
 
-// Run serves until the context ends or a socket fails.
+// Run serves requests and runs the event loop until the context ends or the API server fails.
 func (s *Server) Run(ctx context.Context) error {
 	var cancel context.CancelFunc
 	s.ctx, cancel = context.WithCancel(ctx)
 	defer cancel()
-	// Without keep-alive probes, which cost four system calls for each connection, as workers and
-	// users come back by the hundred after a restart. The server's timeouts end what is dead.
-	listen := net.ListenConfig{KeepAlive: -1}
-	api, err := listen.Listen(s.ctx, "tcp4", s.set.APIAddr)
+	// TCP keep-alive is off: setting it up costs four system calls for each connection, and after a
+	// restart hundreds of workers and users reconnect. The server's timeouts close dead connections.
+	listenConfig := net.ListenConfig{KeepAlive: -1}
+	apiListener, err := listenConfig.Listen(s.ctx, "tcp4", s.settings.APIAddr)
 	if err != nil {
 		return fmt.Errorf("listen on api_addr: %w", err)
 	}
-	defer api.Close()
-	bind, err := net.Listen("tcp4", s.set.PeerBind)
+	defer apiListener.Close()
+	peerListener, err := net.Listen("tcp4", s.settings.PeerBind)
 	if err != nil {
 		return fmt.Errorf("listen on peer_bind: %w", err)
 	}
-	defer bind.Close()
-	errs := make(chan error, 2)
-	server := &http.Server{Handler: s.handler(), ReadHeaderTimeout: limits.EdgeTimeout, ReadTimeout: 2 * limits.EdgeTimeout,
-		WriteTimeout: 3 * limits.EdgeTimeout, IdleTimeout: s.idle(), MaxHeaderBytes: 16 << 10,
+	defer peerListener.Close()
+	serveErrors := make(chan error, 2)
+	server := &http.Server{Handler: s.handler(), ReadHeaderTimeout: limits.EventLoopTimeout, ReadTimeout: 2 * limits.EventLoopTimeout,
+		WriteTimeout: 3 * limits.EventLoopTimeout, IdleTimeout: s.idleTimeout(), MaxHeaderBytes: 16 << 10,
 		ErrorLog: slog.NewLogLogger(s.log.Handler(), slog.LevelDebug)}
-	go func() { errs <- server.Serve(&countedListener{Listener: api, s: s}) }()
-	go s.servePeers(bind)
-	s.log.Info("serving", "node", s.set.Label, "api", s.set.APIAddr)
-	tick := time.NewTicker(limits.TickInterval)
-	defer tick.Stop()
+	go func() { serveErrors <- server.Serve(&countedListener{Listener: apiListener, server: s}) }()
+	go s.servePeers(peerListener)
+	s.log.Info("serving", "node", s.settings.Label, "api", s.settings.APIAddr)
+	ticker := time.NewTicker(limits.TickInterval)
+	defer ticker.Stop()
 	for {
-		// Guards against reports, leases and submissions that wait behind users who
-		// ask many times as often.
+		// All other events go before status queries. Otherwise reports, leases and submissions would
+		// wait behind status queries, which are many times as frequent.
 		select {
-		case e := <-s.inbox:
-			s.handle(e)
+		case event := <-s.inbox:
+			s.handle(event)
 			continue
-		case <-tick.C:
-			s.handle(inboxEvent{in: Tick{}})
+		case <-ticker.C:
+			s.handle(inboxEvent{input: Tick{}})
 			s.checkResources()
 			continue
 		default:
@@ -151,121 +150,124 @@
 		case <-ctx.Done():
 			server.Close()
 			return nil
-		case err := <-errs:
+		case err := <-serveErrors:
 			return fmt.Errorf("serve: %w", err)
-		case e := <-s.inbox:
-			s.handle(e)
-		case <-tick.C:
-			s.handle(inboxEvent{in: Tick{}})
+		case event := <-s.inbox:
+			s.handle(event)
+		case <-ticker.C:
+			s.handle(inboxEvent{input: Tick{}})
 			s.checkResources()
-		case e := <-s.questions:
-			// A question whose user has stopped waiting costs no further work.
-			if e.ctx.Err() == nil {
-				s.handle(e)
+		case event := <-s.queries:
+			// A query whose user has stopped waiting is dropped.
+			if event.ctx.Err() == nil {
+				s.handle(event)
 			}
 		}
 	}
 }
 
-// handle feeds one event to the core and does what it returns.
-func (s *Server) handle(e inboxEvent) {
-	// Guards against a reply to what the core asked before a fault: its successor counts its
-	// calls anew, and would take the reply for that to a call of its own.
-	if e.asker != nil && e.asker != s.core {
+// handle passes one event to the core and performs the actions that the core returns.
+func (s *Server) handle(event inboxEvent) {
+	// A reply to a call of a core that has been replaced after a fault is dropped: the new core numbers
+	// its calls from the start again and would take the reply for one to a call of its own.
+	if event.caller != nil && event.caller != s.core {
 		return
 	}
-	if e.newInput != nil {
-		s.ref++
-		s.refs[s.ref] = e.answer
-		e.in = e.newInput(s.ref)
+	if event.newInput != nil {
+		s.lastRef++
+		s.pendingAnswers[s.lastRef] = event.answer
+		event.input = event.newInput(s.lastRef)
 	}
-	outputs := s.step(e.in)
-	asker := s.core
-	for _, o := range outputs {
-		switch x := o.(type) {
+	outputs := s.step(event.input)
+	caller := s.core
+	for _, output := range outputs {
+		switch action := output.(type) {
 		case Answer:
-			if ch := s.refs[x.Ref]; ch != nil {
-				delete(s.refs, x.Ref)
-				ch <- x
+			if waiting := s.pendingAnswers[action.Ref]; waiting != nil {
+				delete(s.pendingAnswers, action.Ref)
+				waiting <- action
 			}
 		case Log:
-			s.writeLog(x)
+			s.writeLog(action)
 		case StoreCall:
 			go func() {
-				status, body := s.request(s.state, s.set.External.State, x.Method, x.Path, x.Body, x.Timeout)
-				s.send(inboxEvent{in: StoreReply{x.ID, status, body}, asker: asker})
+				status, body := s.request(s.stateClient, s.settings.External.State, action.Method, action.Path, action.Body, action.Timeout)
+				s.send(inboxEvent{input: StoreReply{action.ID, status, body}, caller: caller})
 			}()
 		case CloudCall:
 			go func() {
-				status, body := s.request(s.cloud, s.set.External.Cloud, x.Method, x.Path, x.Body, x.Timeout)
-				s.send(inboxEvent{in: CloudReply{x.ID, status, body}, asker: asker})
+				status, body := s.request(s.cloudClient, s.settings.External.Cloud, action.Method, action.Path, action.Body, action.Timeout)
+				s.send(inboxEvent{input: CloudReply{action.ID, status, body}, caller: caller})
 			}()
 		case DirectCall:
 			go func() {
 				status, body, unsent := 0, []byte(nil), true
-				if s.now().Steady < x.Until {
-					status, body, unsent = s.requestTracked(s.workers, x.Address, "POST", "/orders", x.Body, limits.DirectTimeout)
+				if s.now().Steady < action.Until {
+					status, body, unsent = s.doRequest(s.workerClient, action.Address, "POST", "/orders", action.Body, limits.DirectTimeout)
 				}
-				s.send(inboxEvent{in: DirectReply{x.ID, status, body, unsent}, asker: asker})
+				s.send(inboxEvent{input: DirectReply{action.ID, status, body, unsent}, caller: caller})
 			}()
 		case PeerCall:
-			go s.callPeer(x, asker)
+			go s.callPeer(action, caller)
 		}
 	}
 }
 
-// step guards the loop: a fault in the core must not end the process. What the
-// core knew may be wrong then, so it starts afresh as after a restart, with a
-// name of its own; its claims end with its lease.
-func (s *Server) step(in Input) (out []Output) {
+// step passes an input to the core and returns its outputs. If the core panics, the process goes on with
+// a new core under a new incarnation number, as after a restart, because the state of the old core may be
+// wrong; the old core's claims end with its lease. The requests that wait for an answer get 503.
+func (s *Server) step(input Input) (outputs []Output) {
 	defer func() {
-		if p := recover(); p != nil {
-			s.log.Error("fault in the core, starting it afresh", "fault", fmt.Sprint(p), "stack", string(debug.Stack()))
-			s.core = NewCore(s.set, s.core.operator, s.now(), rand.Uint64()>>1|1)
-			for ref, ch := range s.refs {
-				delete(s.refs, ref)
-				ch <- Answer{Ref: ref, Status: 503, RetryAfter: limits.RetryAfterS}
+		if fault := recover(); fault != nil {
+			s.log.Error("fault in the core, starting it afresh", "fault", fmt.Sprint(fault), "stack", string(debug.Stack()))
+			s.core = NewCore(s.settings, s.core.operator, s.now(), rand.Uint64()>>1|1)
+			for ref, waiting := range s.pendingAnswers {
+				delete(s.pendingAnswers, ref)
+				waiting <- Answer{Ref: ref, Status: 503, RetryAfter: limits.RetryAfterS}
 			}
-			out = nil
+			outputs = nil
 		}
 	}()
-	return s.core.Step(s.now(), in)
+	return s.core.Step(s.now(), input)
 }
 
-func (s *Server) writeLog(x Log) { s.log.Log(s.ctx, x.Level, x.Msg, x.Args...) }
+func (s *Server) writeLog(line Log) { s.log.Log(s.ctx, line.Level, line.Msg, line.Args...) }
 
-func (s *Server) send(e inboxEvent) bool {
+// send queues an event for the event loop; it reports false if the server stops first.
+func (s *Server) send(event inboxEvent) bool {
 	select {
-	case s.inbox <- e:
+	case s.inbox <- event:
 		return true
 	case <-s.ctx.Done():
 		return false
 	}
 }
 
-// ask sends an input and waits for its answer.
-func (s *Server) ask(newInput func(ref uint64) Input, wait time.Duration) (Answer, bool) {
-	return s.enqueue(s.ctx, s.inbox, newInput, wait, wait)
+// callCore sends an input to the core and waits for its answer. The timeout applies to the wait for room
+// in the queue, and again to the wait for the answer. The second result is false if there is no answer.
+func (s *Server) callCore(newInput func(ref uint64) Input, timeout time.Duration) (Answer, bool) {
+	return s.enqueueAndWait(s.ctx, s.inbox, newInput, timeout, timeout)
 }
 
-// enqueue sends an input to a stage, waits for room there for a while, and then for
-// the answer.
-func (s *Server) enqueue(ctx context.Context, stage chan inboxEvent, newInput func(ref uint64) Input, room, wait time.Duration) (Answer, bool) {
-	ch := make(chan Answer, 1)
-	t := time.NewTimer(room)
-	defer t.Stop()
+// enqueueAndWait puts an input into a queue and waits for its answer. queueTimeout bounds the wait for
+// room in the queue, answerTimeout the wait for the answer after that. The second result is false if a
+// timeout expires or the server stops.
+func (s *Server) enqueueAndWait(ctx context.Context, queue chan inboxEvent, newInput func(ref uint64) Input, queueTimeout, answerTimeout time.Duration) (Answer, bool) {
+	received := make(chan Answer, 1)
+	timer := time.NewTimer(queueTimeout)
+	defer timer.Stop()
 	select {
-	case stage <- inboxEvent{newInput: newInput, answer: ch, ctx: ctx}:
-	case <-t.C:
+	case queue <- inboxEvent{newInput: newInput, answer: received, ctx: ctx}:
+	case <-timer.C:
 		return Answer{}, false
 	case <-s.ctx.Done():
 		return Answer{}, false
 	}
-	t.Reset(wait)
+	timer.Reset(answerTimeout)
 	select {
-	case a := <-ch:
-		return a, true
-	case <-t.C:
+	case answer := <-received:
+		return answer, true
+	case <-timer.C:
 		return Answer{}, false
 	case <-s.ctx.Done():
 		return Answer{}, false
--- a/internal/controller/silence.go
+++ b/internal/controller/silence.go
@@ -22,7 +22,7 @@
 // maxReportGap returns the longest time without any report from a large number of machines that is
 // still normal.
 func (c *Core) maxReportGap() time.Duration {
-	return max(limits.UnreachableFloor, time.Duration(limits.UnreachableReports*float64(c.pool.Report)))
+	return max(limits.UnreachableFloor, time.Duration(limits.UnreachableReports*float64(c.pool.ReportInterval)))
 }
 
 // silenceDuration returns for how long a machine has been silent while other machines reported.
@@ -38,7 +38,7 @@
 func (c *Core) reachableSuccessor() string {
 	best := ""
 	for _, peer := range c.settings.Others {
-		if at, ok := c.foreignArrivals[peer.Label]; ok && c.now.Steady-at < limits.ForeignArrivalFor && (best == "" || at > c.foreignArrivals[best]) {
+		if at, ok := c.foreignArrivals[peer.Label]; ok && c.now.Steady-at < limits.ForeignArrivalMaxAge && (best == "" || at > c.foreignArrivals[best]) {
 			best = peer.Label
 		}
 	}
@@ -62,7 +62,7 @@
 		if claim := c.ownership.Claims()[class]; claim != nil && claim.Since > lastHeard {
 			lastHeard = claim.Since
 			if c.reachableSuccessor() == "" {
-				wait = c.maxReportGap() + limits.SilentRetry
+				wait = c.maxReportGap() + limits.ReportRetryTime
 			}
 		}
 	}
@@ -75,7 +75,7 @@
 			upMachines++
 		}
 	}
-	return upMachines >= limits.MassSilenceLeast
+	return upMachines >= limits.MassSilenceMinMachines
 }
 
 // massSilence reports whether many on-demand machines are silent at once. The cloud does not recall
@@ -89,11 +89,11 @@
 			continue
 		}
 		total++
-		if c.silenceDuration(machine) > c.pool.Report*5/4+limits.TakeoverSlack {
+		if c.silenceDuration(machine) > c.pool.ReportInterval*5/4+limits.TakeoverSlack {
 			silent++
 		}
 	}
-	return silent >= limits.MassSilenceLeast && float64(silent) > limits.MassSilenceShare*float64(total)
+	return silent >= limits.MassSilenceMinMachines && float64(silent) > limits.MassSilenceShare*float64(total)
 }
 
 // mostMachinesReported reports whether most machines that an earlier owner recorded as up have
@@ -108,7 +108,7 @@
 			}
 		}
 	}
-	return float64(reported) >= limits.TakeoverHeard*float64(total)
+	return float64(reported) >= limits.TakeoverReportedShare*float64(total)
 }
 
 // presumedDead reports whether a silent machine is to be deleted: the deletion proves it empty
@@ -117,21 +117,21 @@
 // so a machine that has not reported to the new owner when most others have is given up sooner.
 func (c *Core) presumedDead(machine *workers.Machine, lastHeard time.Duration, mostReported bool) bool {
 	now := c.now.Steady
-	if now-lastHeard >= 2*c.pool.Report {
+	if now-lastHeard >= 2*c.pool.ReportInterval {
 		return false
 	}
 	// The condition also holds for a machine whose report this owner answered once and that has
 	// been silent since. Otherwise a takeover would wait three report intervals for machines lost
 	// in the middle of it.
-	if c.awaitedByTakeover(machine) && c.silenceDuration(machine) > c.pool.Report*5/4+limits.TakeoverSlack {
+	if c.awaitedByTakeover(machine) && c.silenceDuration(machine) > c.pool.ReportInterval*5/4+limits.TakeoverSlack {
 		// While other machines still report for the first time, this one may just be slow to find
 		// the new owner.
-		if now-c.lastMachineJoined < limits.TakeoverPause {
+		if now-c.lastMachineJoined < limits.TakeoverSettleTime {
 			return false
 		}
-		return mostReported && (machine.ProbeFailed || machine.Address == "" || c.silenceDuration(machine) > c.pool.Report*5/4+limits.SilentRetry)
+		return mostReported && (machine.ProbeFailed || machine.Address == "" || c.silenceDuration(machine) > c.pool.ReportInterval*5/4+limits.ReportRetryTime)
 	}
-	return c.silenceDuration(machine) > c.pool.SilentFor()
+	return c.silenceDuration(machine) > c.pool.MaxSilence()
 }
 
 // awaitedByTakeover reports whether a takeover still waits for a machine.
--- a/internal/controller/simulation_gangs_test.go
+++ b/internal/controller/simulation_gangs_test.go
@@ -41,7 +41,7 @@
 	w.schedule(time.Duration(w.cfg.gangWait*float64(time.Second)), func() {
 		m.when(func() {
 			if t.state == wire.TaskGathering && m.tasks[t.id] == t {
-				t.state, t.cause = wire.TaskEnded, wire.CauseAlone
+				t.state, t.cause = wire.TaskEnded, wire.CauseGangIncomplete
 				m.changed()
 			}
 		})
@@ -132,7 +132,7 @@
 				x := g.members[id]
 				x.m.when(func() {
 					if x.m.tasks[x.t.id] == x.t && x.t.state != wire.TaskEnded {
-						x.t.state, x.t.cause = wire.TaskEnded, wire.CausePeers
+						x.t.state, x.t.cause = wire.TaskEnded, wire.CausePeerLost
 						x.m.changed()
 					}
 				})
--- a/internal/controller/simulation_rules_test.go
+++ b/internal/controller/simulation_rules_test.go
@@ -300,7 +300,7 @@
 				j.Cancelled = false
 			}
 		}},
-		{"a lease taken for over too early", "ran_twice", func(c *Core) { c.pool.Lease = time.Second }},
+		{"a lease taken for over too early", "ran_twice", func(c *Core) { c.pool.LeaseDuration = time.Second }},
 		{"orders that may come late forgotten", "ran_ in_use", func(c *Core) {
 			for _, m := range c.pool.Machines {
 				clear(m.Orders)
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -289,7 +289,7 @@
 	if n.w.cfg.rps > 0 {
 		cl.State.RPS, cl.Cloud.RPS = n.w.cfg.rps, n.w.cfg.cloudRPS
 	}
-	n.core = NewCore(set, &config.Operator{Reachability: config.Reachability{Enabled: n.w.cfg.links}}, n.clock(), n.w.rng.Uint64()>>1|1)
+	n.core = NewCore(set, &config.OperatorSettings{Reachability: config.Reachability{Enabled: n.w.cfg.links}}, n.clock(), n.w.rng.Uint64()>>1|1)
 	if n.old {
 		n.core.ownership.SupportedFormat = 0
 	}
@@ -380,7 +380,7 @@
 		return
 	}
 	if n.frozen > n.w.now && !n.caught {
-		if len(n.queued) < 2*limits.Inbox {
+		if len(n.queued) < 2*limits.InboxSize {
 			n.queued = append(n.queued, func() { n.step(in) })
 		}
 		return
--- a/internal/controller/simulation_workers_test.go
+++ b/internal/controller/simulation_workers_test.go
@@ -34,13 +34,13 @@
 	case u.Path == "/machine_types":
 		return 200, pack(wire.MachineTypes{Types: c.w.cfg.types})
 	case u.Path == "/hosts" && method == "POST":
-		var h wire.Hire
+		var h wire.RentalRequest
 		if wire.Decode(body, &h) != nil || h.Count < 1 || h.Count > 50 {
 			c.w.reportBroken("limits", "malformed rental")
 			return 400, nil
 		}
 		if ids, ok := c.hires[h.Request]; ok {
-			return 200, pack(wire.Machines{Machines: ids})
+			return 200, pack(wire.MachineIDs{Machines: ids})
 		}
 		k := fleet.Kind{Class: h.Type, Zone: h.Zone, Spot: h.Spot}
 		n := min(h.Count, c.left[k])
@@ -52,9 +52,9 @@
 			ids = append(ids, c.create(k).id)
 		}
 		c.hires[h.Request] = ids
-		return 200, pack(wire.Machines{Machines: ids})
+		return 200, pack(wire.MachineIDs{Machines: ids})
 	case u.Path == "/hosts/delete":
-		var m wire.Machines
+		var m wire.MachineIDs
 		if wire.Decode(body, &m) != nil || len(m.Machines) > 100 {
 			c.w.reportBroken("limits", "malformed deletion")
 			return 400, nil
--- a/internal/controller/sockets_test.go
+++ b/internal/controller/sockets_test.go
@@ -35,7 +35,7 @@
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- NewServer(set, &config.Operator{}, slog.New(slog.DiscardHandler)).Run(ctx) }()
+	go func() { ended <- NewServer(set, &config.OperatorSettings{}, slog.New(slog.DiscardHandler)).Run(ctx) }()
 	stop = sync.OnceFunc(func() {
 		cancel()
 		if err := <-ended; err != nil {
--- a/internal/controller/task_ends.go
+++ b/internal/controller/task_ends.go
@@ -89,7 +89,7 @@
 		// job would back off for a minute after its first try, although the machines may have been
 		// at fault.
 		if c.now.Steady >= job.NotBefore {
-			job.Backoff = min(max(2*job.Backoff, limits.RetryBase), limits.RetryMost)
+			job.Backoff = min(max(2*job.Backoff, limits.FaultyJobBackoffBase), limits.FaultyJobBackoffMax)
 			job.NotBefore = c.now.Steady + job.Backoff
 			c.log(slog.LevelInfo, "job fails everywhere", "job", job.ID, "machines", len(job.FailedOn), "retryIn", job.Backoff)
 		}
@@ -100,7 +100,7 @@
 	for _, count := range machine.Failures {
 		failures += count
 	}
-	if machine.Draining || failures < limits.StrikesOut || (len(machine.Failures) == 1 && !job.Succeeded) {
+	if machine.Draining || failures < limits.FaultyMachineFailures || (len(machine.Failures) == 1 && !job.Succeeded) {
 		return
 	}
 	machine.Draining, machine.Faulty = true, true
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -24,7 +24,7 @@
 // user.
 func (c *Core) answerReady(request Ready) {
 	now := c.now.Steady
-	alone := c.store.Down() && now-c.store.LastOK > limits.AloneAfter && c.peerReachedStoreAt > 0 && now-c.peerReachedStoreAt < limits.AloneAfter
+	alone := c.store.Down() && now-c.store.LastOK > limits.IsolatedAfter && c.peerReachedStoreAt > 0 && now-c.peerReachedStoreAt < limits.IsolatedAfter
 	if c.store.Mirror.Loaded && len(c.fleet.Types) > 0 && !alone {
 		c.outputs = append(c.outputs, Answer{Ref: request.Ref, Status: 200})
 		return
@@ -86,7 +86,7 @@
 		return "crew: unknown team"
 	}
 	listed := map[string]bool{}
-	for _, t := range submission.Listed {
+	for _, t := range submission.AllowedTypes {
 		listed[t] = true
 	}
 	submission.Types = nil
--- a/internal/fleet/deletions_test.go
+++ b/internal/fleet/deletions_test.go
@@ -10,36 +10,36 @@
 	"umberpaddle/internal/wire"
 )
 
-// TestRefusedDeletionsAreAskedAgain: machines marked for deletion are deleted in calls of at most
-// limits.DeleteMost names, and those of a call that the cloud refused or left unanswered are asked
-// for again. Guards against machines that are paid for on since nobody looked for them any more.
-func TestRefusedDeletionsAreAskedAgain(t *testing.T) {
-	for _, machines := range []int{1, limits.DeleteMost + 20} {
-		f := New(10, 4, "p", func(slog.Level, string, ...any) {})
-		gone := map[string]bool{}
-		f.OnGone = func(id string) { gone[id] = true }
+// TestFailedDeletionsAreRetried checks that deletion requests name at most limits.MaxDeletionsPerRequest
+// machines and that a request that the cloud refused or did not answer is retried. Without the
+// retry, the machines would run on and be paid for.
+func TestFailedDeletionsAreRetried(t *testing.T) {
+	for _, machines := range []int{1, limits.MaxDeletionsPerRequest + 20} {
+		manager := New(10, 4, "p", func(slog.Level, string, ...any) {})
+		deleted := map[string]bool{}
+		manager.OnDeleted = func(id string) { deleted[id] = true }
 		now := time.Second
-		step(t, f, now)
+		tick(t, manager, now)
 		for i := range machines {
 			id := fmt.Sprintf("i-%06d", i)
-			f.Track(id, Kind{Class: "c", Zone: "z"}, now)
-			f.Delete(id, ReturnIdle)
+			manager.Track(id, Kind{Class: "c", Zone: "z"}, now)
+			manager.Delete(id, ReturnIdle)
 		}
 		refusals := []int{503, 0}
-		for ; now < time.Minute && len(gone) < machines; now += 2 * time.Second {
-			for _, call := range step(t, f, now) {
-				if n := len(call.Body.(wire.Machines).Machines); n > limits.DeleteMost {
+		for ; now < time.Minute && len(deleted) < machines; now += 2 * time.Second {
+			for _, call := range tick(t, manager, now) {
+				if n := len(call.Body.(wire.MachineIDs).Machines); n > limits.MaxDeletionsPerRequest {
 					t.Fatalf("%d names in one call", n)
 				}
 				status := 200
 				if len(refusals) > 0 {
 					status, refusals = refusals[0], refusals[1:]
 				}
-				f.Reply(now, call.ID, status, nil)
+				manager.Reply(now, call.ID, status, nil)
 			}
 		}
-		if len(gone) != machines {
-			t.Errorf("%d of %d machines are deleted", len(gone), machines)
+		if len(deleted) != machines {
+			t.Errorf("%d of %d machines deleted", len(deleted), machines)
 		}
 	}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,8 @@
-// Package fleet rents and returns machines: it follows the cloud's prices and
-// lists, asks for what the waiting work needs, and gives back what is idle,
-// broken or never came up. It is a pure state machine like the others.
+// Package fleet rents machines from the cloud and returns them. It reads the
+// cloud's machine types, prices and machine lists, sends rental and deletion
+// requests, and marks machines for deletion that failed or never came up. It is
+// a state machine without I/O: it returns the calls to make, and receives their
+// replies and the time as arguments.
 package fleet
 
 import (
@@ -16,7 +18,7 @@
 	"umberpaddle/internal/wire"
 )
 
-// Call is an HTTP request for the edge to make to the cloud.
+// Call is an HTTP request to the cloud that the caller of Tick sends.
 type Call struct {
 	ID      uint64
 	Method  string
@@ -25,7 +27,7 @@
 	Timeout time.Duration
 }
 
-// ReturnReason tells why a machine is returned.
+// ReturnReason is the reason for returning a machine, as it is logged.
 type ReturnReason string
 
 // Reasons for returning a machine.
@@ -39,463 +41,488 @@
 	ReturnUnlisted ReturnReason = "no longer listed"
 )
 
-// Kind is what one rental request asks for.
+// Kind describes the machines that one rental request asks for.
 type Kind struct {
 	Class, Zone string
 	Spot        bool
 }
 
-// Rental is a machine that we know from renting or from lists.
+// Rental is a machine known from a rental request, a list, a stored record or a
+// report.
 type Rental struct {
-	ID      string
-	Kind    Kind
-	Since   time.Duration      // when it was rented, on our steady clock
-	Known   time.Duration      // when this process began to wait for its reports
-	Listed  wire.MachineStatus // its status when last listed
-	SeenAt  time.Duration      // when it was last listed
-	Up      bool               // its worker has reported
-	WasUp   bool               // it had reported to an earlier owner
-	Deleted bool               // asked to delete; goes with the 200
-	asking  bool
-	Idle    time.Duration // since when it has nothing to do; 0: busy
+	ID               string
+	Kind             Kind
+	RentedAt         time.Duration      // when it was rented, on this process's steady clock
+	TrackedSince     time.Duration      // when this process began to wait for its reports
+	ListedStatus     wire.MachineStatus // its status in the last list that contained it
+	LastListedAt     time.Duration      // when a list last contained it; 0: never
+	Up               bool               // its worker has reported to this process
+	WasUp            bool               // its worker reported to an earlier owner
+	Deleting         bool               // marked for deletion; removed once the cloud confirms it
+	deletionInFlight bool               // a deletion request for it is in flight
+	IdleSince        time.Duration      // since when it has nothing to do; 0: busy
 }
 
-// Manager is the slice's state.
+// Manager holds the rented machines, and the calls to the cloud that are in
+// flight.
 type Manager struct {
-	logf        func(level slog.Level, msg string, args ...any)
-	now         time.Duration
-	rate        float64
-	budget      float64
-	last        time.Duration
-	prefix      string
-	count       uint64
-	calls       map[uint64]func(status int, body []byte)
-	nextID      uint64
-	out         []Call
-	pausedUntil time.Duration
-	listLag     time.Duration
-
-	// ReportWithin is how long a machine that this process has just learned of may
-	// take to report.
-	ReportWithin time.Duration
-	// TakeoverRound is within what time a machine that is up finds a new owner.
-	TakeoverRound time.Duration
-	// Losses of spot machines and the hours that they ran, both fading, tell
-	// how often spot machines are taken back these days.
-	losses, hours float64
-	riskAt        time.Duration
+	log             func(level slog.Level, msg string, args ...any)
+	now             time.Duration
+	rate            float64 // calls per second that all owners together may make
+	budget          float64 // calls that this process may make now
+	budgetUpdatedAt time.Duration
+	requestPrefix   string
+	requestCount    uint64
+	replyHandlers   map[uint64]func(status int, body []byte)
+	lastCallID      uint64
+	outgoing        []Call
+	pausedUntil     time.Duration
+	listLag         time.Duration
+
+	// ReportTimeout is how long a machine may take to report after this process
+	// began to track it.
+	ReportTimeout time.Duration
+	// TakeoverTimeout is how long a machine that is up may take to report to a
+	// new owner.
+	TakeoverTimeout time.Duration
+	// spotLosses and spotHours count the spot machines lost and the hours that
+	// spot machines ran. Both decay exponentially, so that their ratio is the
+	// current rate of losses per hour.
+	spotLosses, spotHours float64
+	riskUpdatedAt         time.Duration
 
 	Types   map[string]*wire.MachineType
 	Rentals map[string]*Rental
-	// deletionsWait: there may be rentals to be deleted that the cloud was not asked for yet.
-	deletionsWait bool
-	backoff       map[Kind]time.Duration
-	renting       map[Kind]int
-	unconfirmed   map[string]*rentalRequest // by name: requests without an answer are repeated
-	typesAt       time.Duration
-	readingTypes  bool
-	listAt        time.Duration
-	listing       bool
-	Listed        bool // a whole list has been read since we began
-	pages         map[string]wire.ListedMachine
-	listFrom      time.Duration
-	OnGone        func(id string) // a machine is certainly gone
-	deletedAt     map[string]time.Duration
+	// deletionsPending: some machines marked for deletion may have no deletion
+	// request in flight.
+	deletionsPending bool
+	backoffUntil     map[Kind]time.Duration    // when a kind may be requested again after a refusal
+	inFlight         map[Kind]int              // machines in rental requests without a reply yet
+	unconfirmed      map[string]*rentalRequest // rental requests to retry, by request name
+	nextTypesAt      time.Duration
+	readingTypes     bool
+	nextListAt       time.Duration
+	readingList      bool
+	HasFullList      bool                          // a complete list has been read since this process started
+	partialList      map[string]wire.ListedMachine // the pages read so far of the list being read
+	listStartedAt    time.Duration
+	OnDeleted        func(id string) // called when the cloud has confirmed a deletion
+	deletedAt        map[string]time.Duration
 }
 
+// rentalRequest is a rental request and the kind of machines that it asks for.
 type rentalRequest struct {
-	kind Kind
-	req  wire.Hire
+	kind    Kind
+	payload wire.RentalRequest
 }
 
-// New makes a manager. prefix starts the names of all its rental requests and
-// must never be used by any other life of any node.
-func New(rps, listLagS float64, prefix string, log func(slog.Level, string, ...any)) *Manager {
-	// One call is due at once: without the machine types a node takes no jobs.
-	return &Manager{budget: 1, logf: log, rate: rps * limits.CloudBudget, prefix: prefix, listLag: limits.Seconds(listLagS),
-		calls: map[uint64]func(int, []byte){}, Types: map[string]*wire.MachineType{}, Rentals: map[string]*Rental{},
-		backoff: map[Kind]time.Duration{}, renting: map[Kind]int{}, unconfirmed: map[string]*rentalRequest{}, deletedAt: map[string]time.Duration{}}
+// New returns a Manager. requestPrefix starts the names of its rental requests, which
+// the cloud uses to recognize a retry. It must be unique to this run of this
+// node.
+func New(rps, listLagS float64, requestPrefix string, log func(slog.Level, string, ...any)) *Manager {
+	// The budget allows one call at once: a node accepts no jobs before it has read
+	// the machine types.
+	return &Manager{budget: 1, log: log, rate: rps * limits.CloudBudgetUse, requestPrefix: requestPrefix, listLag: limits.Seconds(listLagS),
+		replyHandlers: map[uint64]func(int, []byte){}, Types: map[string]*wire.MachineType{}, Rentals: map[string]*Rental{},
+		backoffUntil: map[Kind]time.Duration{}, inFlight: map[Kind]int{}, unconfirmed: map[string]*rentalRequest{}, deletedAt: map[string]time.Duration{}}
 }
 
-// Classes lists the machine types.
-func (f *Manager) Classes() []string {
-	c := make([]string, 0, len(f.Types))
-	for n := range f.Types {
-		c = append(c, n)
+// Classes returns the names of the machine types in alphabetical order.
+func (m *Manager) Classes() []string {
+	names := make([]string, 0, len(m.Types))
+	for name := range m.Types {
+		names = append(names, name)
 	}
-	sort.Strings(c)
-	return c
+	sort.Strings(names)
+	return names
 }
 
-// IsGone tells whether a machine was deleted for certain; late reports of it
-// must not bring it back.
-func (f *Manager) IsGone(id string) bool { _, ok := f.deletedAt[id]; return ok }
+// IsDeleted reports whether the cloud confirmed a machine's deletion in the last 20
+// minutes. A late report or list must not add such a machine again.
+func (m *Manager) IsDeleted(id string) bool { _, ok := m.deletedAt[id]; return ok }
 
-// Track enters a machine known by other means.
-func (f *Manager) Track(id string, k Kind, since time.Duration) *Rental {
-	r := f.Rentals[id]
-	if r == nil && !f.IsGone(id) {
-		r = &Rental{ID: id, Kind: k, Since: since, Known: f.now}
-		f.Rentals[id] = r
+// Track returns the rental of a machine and adds it if it is missing. It returns
+// nil for a deleted machine.
+func (m *Manager) Track(id string, kind Kind, rentedAt time.Duration) *Rental {
+	rental := m.Rentals[id]
+	if rental == nil && !m.IsDeleted(id) {
+		rental = &Rental{ID: id, Kind: kind, RentedAt: rentedAt, TrackedSince: m.now}
+		m.Rentals[id] = rental
 	}
-	return r
+	return rental
 }
 
-func (f *Manager) call(method, path string, body any, done func(int, []byte)) {
-	f.budget--
-	f.nextID++
-	f.calls[f.nextID] = done
-	f.out = append(f.out, Call{ID: f.nextID, Method: method, Path: path, Body: body, Timeout: limits.CloudTimeout})
+func (m *Manager) call(method, path string, body any, done func(int, []byte)) {
+	m.budget--
+	m.lastCallID++
+	m.replyHandlers[m.lastCallID] = done
+	m.outgoing = append(m.outgoing, Call{ID: m.lastCallID, Method: method, Path: path, Body: body, Timeout: limits.CloudTimeout})
 }
 
-// Reply hands over what came of a call; status 0 is no answer.
-func (f *Manager) Reply(now time.Duration, id uint64, status int, body []byte) {
-	f.now = max(f.now, now)
-	done, ok := f.calls[id]
+// Reply handles the result of a call. Status 0 means that no answer came.
+func (m *Manager) Reply(now time.Duration, id uint64, status int, body []byte) {
+	m.now = max(m.now, now)
+	done, ok := m.replyHandlers[id]
 	if !ok {
 		return
 	}
-	delete(f.calls, id)
+	delete(m.replyHandlers, id)
 	if status != 200 && status != 400 {
-		f.pausedUntil = f.now + limits.CloudBackoff
+		m.pausedUntil = m.now + limits.CloudBackoff
 	}
 	done(status, body)
 }
 
-func (f *Manager) mayCall() bool { return f.budget >= 1 && f.now >= f.pausedUntil && len(f.calls) < 4 }
+func (m *Manager) mayCall() bool {
+	return m.budget >= 1 && m.now >= m.pausedUntil && len(m.replyHandlers) < 4
+}
 
-// Tick advances time. active tells whether this node owns classes; others only
-// read the price list. deletions come first, then rentals, then lists.
-func (f *Manager) Tick(now time.Duration, active bool, owners int) []Call {
-	f.now = max(f.now, now)
-	if f.now > f.last {
-		rate := f.rate / float64(max(1, owners))
+// Tick advances the clock and returns the calls to make. active reports whether
+// this node owns classes; a node that owns none only reads the machine types, at up
+// to 0.2 calls a second. owners is the number of nodes that share the cloud's
+// request limit. When the budget is short, reading machine types comes first, then
+// deletions, retries of rentals, and lists.
+func (m *Manager) Tick(now time.Duration, active bool, owners int) []Call {
+	m.now = max(m.now, now)
+	if m.now > m.budgetUpdatedAt {
+		rate := m.rate / float64(max(1, owners))
 		if !active {
 			rate = min(rate, 0.2)
 		}
-		f.budget = min(max(2*rate, 1), f.budget+rate*(f.now-f.last).Seconds())
-		f.last = f.now
+		m.budget = min(max(2*rate, 1), m.budget+rate*(m.now-m.budgetUpdatedAt).Seconds())
+		m.budgetUpdatedAt = m.now
 	}
-	if !f.readingTypes && f.now >= f.typesAt && f.mayCall() {
-		f.readTypes()
+	if !m.readingTypes && m.now >= m.nextTypesAt && m.mayCall() {
+		m.readTypes()
 	}
 	if active {
-		f.deleteMarked()
-		f.repeatRentals()
-		f.readList()
+		m.requestDeletions()
+		m.retryRentals()
+		m.readList()
 	}
-	out := f.out
-	f.out = nil
+	out := m.outgoing
+	m.outgoing = nil
 	return out
 }
 
-func (f *Manager) readTypes() {
-	f.readingTypes = true
-	f.call("GET", "/machine_types", nil, func(status int, body []byte) {
-		f.readingTypes = false
-		f.typesAt = f.now + limits.CloudBackoff
-		var t wire.MachineTypes
-		if status != 200 || wire.Decode(body, &t) != nil {
+func (m *Manager) readTypes() {
+	m.readingTypes = true
+	m.call("GET", "/machine_types", nil, func(status int, body []byte) {
+		m.readingTypes = false
+		m.nextTypesAt = m.now + limits.CloudBackoff
+		var list wire.MachineTypes
+		if status != 200 || wire.Decode(body, &list) != nil {
 			return
 		}
-		f.typesAt = f.now + limits.TypesInterval
-		for i := range t.Types {
-			if t.Types[i].Name != "" {
-				f.Types[t.Types[i].Name] = &t.Types[i]
+		m.nextTypesAt = m.now + limits.MachineTypesInterval
+		for i := range list.Types {
+			if list.Types[i].Name != "" {
+				m.Types[list.Types[i].Name] = &list.Types[i]
 			}
 		}
 	})
 }
 
 // Delete marks a machine for deletion.
-func (f *Manager) Delete(id string, why ReturnReason) {
-	r := f.Rentals[id]
-	if r == nil || r.Deleted {
+func (m *Manager) Delete(id string, reason ReturnReason) {
+	rental := m.Rentals[id]
+	if rental == nil || rental.Deleting {
 		return
 	}
-	r.Deleted = true
-	f.deletionsWait = true
-	f.logf(slog.LevelInfo, "machine returned", "machine", id, "why", why)
+	rental.Deleting = true
+	m.deletionsPending = true
+	m.log(slog.LevelInfo, "machine returned", "machine", id, "why", reason)
 }
 
-// deleteAll marks machines for deletion, in the order of their names: what is logged must not depend on
-// the order of a map.
-func (f *Manager) deleteAll(ids []string, why ReturnReason) {
+// deleteAll marks machines for deletion in the order of their names, so that the
+// order of log lines does not depend on the iteration order of a map.
+func (m *Manager) deleteAll(ids []string, reason ReturnReason) {
 	sort.Strings(ids)
 	for _, id := range ids {
-		f.Delete(id, why)
+		m.Delete(id, reason)
 	}
 }
 
-func (f *Manager) deleteMarked() {
-	if !f.deletionsWait || !f.mayCall() {
+func (m *Manager) requestDeletions() {
+	if !m.deletionsPending || !m.mayCall() {
 		return
 	}
 	var names []string
-	for id, r := range f.Rentals {
-		if r.Deleted && !r.asking {
+	for id, rental := range m.Rentals {
+		if rental.Deleting && !rental.deletionInFlight {
 			names = append(names, id)
 		}
 	}
-	f.deletionsWait = len(names) > limits.DeleteMost
+	m.deletionsPending = len(names) > limits.MaxDeletionsPerRequest
 	if len(names) == 0 {
 		return
 	}
 	sort.Strings(names)
-	names = names[:min(len(names), limits.DeleteMost)]
+	names = names[:min(len(names), limits.MaxDeletionsPerRequest)]
 	for _, id := range names {
-		f.Rentals[id].asking = true
+		m.Rentals[id].deletionInFlight = true
 	}
-	f.call("POST", "/hosts/delete", wire.Machines{Machines: names}, func(status int, _ []byte) {
+	m.call("POST", "/hosts/delete", wire.MachineIDs{Machines: names}, func(status int, _ []byte) {
 		for _, id := range names {
-			r := f.Rentals[id]
-			if r == nil {
+			rental := m.Rentals[id]
+			if rental == nil {
 				continue
 			}
-			r.asking = false
+			rental.deletionInFlight = false
 			if status == 200 {
-				f.forget(id)
+				m.confirmDeletion(id)
 			} else {
-				f.deletionsWait = true
+				m.deletionsPending = true
 			}
 		}
 	})
 }
 
-func (f *Manager) forget(id string) {
-	delete(f.Rentals, id)
-	f.deletedAt[id] = f.now
-	for g, at := range f.deletedAt {
-		// Longer than any list or report may lag.
-		if f.now-at > 20*time.Minute {
-			delete(f.deletedAt, g)
+func (m *Manager) confirmDeletion(id string) {
+	delete(m.Rentals, id)
+	m.deletedAt[id] = m.now
+	for deletedID, at := range m.deletedAt {
+		// No list or report lags by more than 20 minutes.
+		if m.now-at > 20*time.Minute {
+			delete(m.deletedAt, deletedID)
 		}
 	}
-	f.OnGone(id)
+	m.OnDeleted(id)
 }
 
-// MayRent tells whether a kind may be asked for now.
-func (f *Manager) MayRent(k Kind) bool {
-	if f.now < f.backoff[k] || !f.mayCall() {
+// MayRent reports whether machines of a kind may be requested now: the kind is not
+// in backoff, the budget allows a call, and no earlier request for the kind is
+// unconfirmed.
+func (m *Manager) MayRent(kind Kind) bool {
+	if m.now < m.backoffUntil[kind] || !m.mayCall() {
 		return false
 	}
-	for _, h := range f.unconfirmed {
-		if h.kind == k {
+	for _, request := range m.unconfirmed {
+		if request.kind == kind {
 			return false
 		}
 	}
 	return true
 }
 
-// Available tells whether a kind was not refused a moment ago.
-func (f *Manager) Available(k Kind) bool { return f.now >= f.backoff[k] }
+// Available reports whether no backoff after a refusal is active for a kind.
+func (m *Manager) Available(kind Kind) bool { return m.now >= m.backoffUntil[kind] }
 
-// Refused tells whether the cloud lately had too few machines of a kind.
-func (f *Manager) Refused(k Kind) bool {
-	until, ok := f.backoff[k]
-	return ok && f.now < until-limits.RentBackoff+limits.RefusedFor
+// RecentlyRefused reports whether the cloud refused a request for machines of a
+// kind, or granted only a part of it, within the last limits.RefusalMaxAge.
+func (m *Manager) RecentlyRefused(kind Kind) bool {
+	until, ok := m.backoffUntil[kind]
+	return ok && m.now < until-limits.RentBackoff+limits.RefusalMaxAge
 }
 
-// Rent asks for machines.
-func (f *Manager) Rent(k Kind, n int) {
-	f.count++
-	h := &rentalRequest{kind: k, req: wire.Hire{Request: fmt.Sprintf("%s-%d", f.prefix, f.count), Type: k.Class, Zone: k.Zone, Spot: k.Spot, Count: min(n, limits.RentMost)}}
-	f.sendRental(h)
+// Rent requests up to count machines of a kind, at most limits.MaxRentalsPerRequest.
+func (m *Manager) Rent(kind Kind, count int) {
+	m.requestCount++
+	request := &rentalRequest{kind: kind, payload: wire.RentalRequest{Request: fmt.Sprintf("%s-%d", m.requestPrefix, m.requestCount), Type: kind.Class, Zone: kind.Zone, Spot: kind.Spot, Count: min(count, limits.MaxRentalsPerRequest)}}
+	m.sendRental(request)
 }
 
-func (f *Manager) sendRental(h *rentalRequest) {
-	k := h.kind
-	delete(f.unconfirmed, h.req.Request)
-	f.renting[k] += h.req.Count
-	f.call("POST", "/hosts", h.req, func(status int, body []byte) {
-		f.renting[k] -= h.req.Count
-		var m wire.Machines
+func (m *Manager) sendRental(request *rentalRequest) {
+	kind := request.kind
+	delete(m.unconfirmed, request.payload.Request)
+	m.inFlight[kind] += request.payload.Count
+	m.call("POST", "/hosts", request.payload, func(status int, body []byte) {
+		m.inFlight[kind] -= request.payload.Count
+		var rented wire.MachineIDs
 		switch {
-		case status == 200 && wire.Decode(body, &m) == nil:
-			for _, id := range m.Machines {
-				f.Track(id, k, f.now)
+		case status == 200 && wire.Decode(body, &rented) == nil:
+			for _, id := range rented.Machines {
+				m.Track(id, kind, m.now)
 			}
-			f.logf(slog.LevelInfo, "machines rented", "class", k.Class, "zone", k.Zone, "spot", k.Spot, "asked", h.req.Count, "got", len(m.Machines))
-			if len(m.Machines) < h.req.Count {
-				f.backoff[k] = f.now + limits.RentBackoff
+			m.log(slog.LevelInfo, "machines rented", "class", kind.Class, "zone", kind.Zone, "spot", kind.Spot, "asked", request.payload.Count, "got", len(rented.Machines))
+			if len(rented.Machines) < request.payload.Count {
+				m.backoffUntil[kind] = m.now + limits.RentBackoff
 			}
 		case status == 0:
-			// Perhaps rented: the same name tells, and rents nothing twice.
-			f.unconfirmed[h.req.Request] = h
+			// The cloud may have rented them. A retry under the same name returns
+			// these machines and rents no others.
+			m.unconfirmed[request.payload.Request] = request
 		default:
-			f.logf(slog.LevelInfo, "no machines", "class", k.Class, "zone", k.Zone, "spot", k.Spot, "asked", h.req.Count, "status", status)
-			f.backoff[k] = f.now + limits.RentBackoff
+			m.log(slog.LevelInfo, "no machines", "class", kind.Class, "zone", kind.Zone, "spot", kind.Spot, "asked", request.payload.Count, "status", status)
+			m.backoffUntil[kind] = m.now + limits.RentBackoff
 		}
 	})
 }
 
-func (f *Manager) repeatRentals() {
-	for _, name := range slices.Sorted(maps.Keys(f.unconfirmed)) {
-		if f.mayCall() {
-			f.sendRental(f.unconfirmed[name])
+func (m *Manager) retryRentals() {
+	for _, name := range slices.Sorted(maps.Keys(m.unconfirmed)) {
+		if m.mayCall() {
+			m.sendRental(m.unconfirmed[name])
 		}
 	}
 }
 
-// Less orders kinds.
-func (k Kind) Less(o Kind) bool {
-	if k.Class != o.Class {
-		return k.Class < o.Class
+// Less orders kinds by class, zone, and spot before on-demand.
+func (k Kind) Less(other Kind) bool {
+	if k.Class != other.Class {
+		return k.Class < other.Class
 	}
-	if k.Zone != o.Zone {
-		return k.Zone < o.Zone
+	if k.Zone != other.Zone {
+		return k.Zone < other.Zone
 	}
-	return k.Spot && !o.Spot
+	return k.Spot && !other.Spot
 }
 
-func (f *Manager) readList() {
-	if f.listing || !f.mayCall() || (f.pages == nil && f.now < f.listAt) {
+func (m *Manager) readList() {
+	if m.readingList || !m.mayCall() || (m.partialList == nil && m.now < m.nextListAt) {
 		return
 	}
-	if f.pages == nil {
-		f.pages = map[string]wire.ListedMachine{}
-		f.listFrom = f.now
+	if m.partialList == nil {
+		m.partialList = map[string]wire.ListedMachine{}
+		m.listStartedAt = m.now
 	}
-	since := ""
-	for id := range f.pages {
-		since = max(since, id)
+	lastID := ""
+	for id := range m.partialList {
+		lastID = max(lastID, id)
 	}
 	path := "/hosts?page=500"
-	if since != "" {
-		path += "&since=" + since
-	}
-	f.listing = true
-	f.call("GET", path, nil, func(status int, body []byte) {
-		f.listing = false
-		var l wire.MachineList
-		if status != 200 || wire.Decode(body, &l) != nil {
+	if lastID != "" {
+		path += "&since=" + lastID
+	}
+	m.readingList = true
+	m.call("GET", path, nil, func(status int, body []byte) {
+		m.readingList = false
+		var list wire.MachineList
+		if status != 200 || wire.Decode(body, &list) != nil {
 			return
 		}
-		for _, m := range l.Machines {
-			f.pages[m.ID] = m
+		for _, machine := range list.Machines {
+			m.partialList[machine.ID] = machine
 		}
-		if !l.More || len(l.Machines) == 0 {
-			f.mergeList()
+		if !list.More || len(list.Machines) == 0 {
+			m.mergeList()
 		}
 	})
 }
 
-// mergeList takes a whole list in. Lists lag: a machine that is missing may be new,
-// and one that is listed may be gone.
-func (f *Manager) mergeList() {
-	f.listAt = f.now + limits.ListInterval
-	f.Listed = true
-	for id, m := range f.pages {
-		age := limits.Seconds(m.AgeS)
-		r := f.Track(id, Kind{m.Type, m.Zone, m.Spot}, f.now-age)
-		if r == nil {
+// mergeList updates the rentals from a complete list. Lists lag: a machine that is
+// missing from a list may be new, and one that is listed may be deleted.
+func (m *Manager) mergeList() {
+	m.nextListAt = m.now + limits.MachineListInterval
+	m.HasFullList = true
+	for id, machine := range m.partialList {
+		age := limits.Seconds(machine.AgeS)
+		rental := m.Track(id, Kind{machine.Type, machine.Zone, machine.Spot}, m.now-age)
+		if rental == nil {
 			continue
 		}
-		r.Listed, r.SeenAt = m.Status, f.now
+		rental.ListedStatus, rental.LastListedAt = machine.Status, m.now
 	}
 	var unlisted []string
-	for _, r := range f.Rentals {
-		if _, ok := f.pages[r.ID]; ok {
+	for _, rental := range m.Rentals {
+		if _, ok := m.partialList[rental.ID]; ok {
 			continue
 		}
-		// Listed once and not any more: gone, as the cloud promises. New ones
-		// may be missing for twice the lag.
-		if r.SeenAt != 0 && f.listFrom-r.SeenAt > 2*f.listLag+limits.ListInterval || r.SeenAt == 0 && f.listFrom-r.Since > 3*f.listLag+limits.ListInterval && !r.Up {
-			unlisted = append(unlisted, r.ID)
+		// The cloud promises that a machine that was listed and no longer is has
+		// been deleted. A new machine may be missing for twice the lag.
+		if rental.LastListedAt != 0 && m.listStartedAt-rental.LastListedAt > 2*m.listLag+limits.MachineListInterval || rental.LastListedAt == 0 && m.listStartedAt-rental.RentedAt > 3*m.listLag+limits.MachineListInterval && !rental.Up {
+			unlisted = append(unlisted, rental.ID)
 		}
 	}
-	f.deleteAll(unlisted, ReturnUnlisted)
-	f.pages = nil
+	m.deleteAll(unlisted, ReturnUnlisted)
+	m.partialList = nil
 }
 
-// RemoveDeadRentals marks machines that failed or never came up. hearing tells whether workers
-// reach this node, and from is since when they do.
-func (f *Manager) RemoveDeadRentals(hearing bool, from time.Duration) {
-	f.updateRisk()
+// DeleteDeadRentals marks the machines for deletion that failed or never came up.
+// reportsArrive reports whether this node receives workers' reports, and
+// reportsSince is since when it does.
+func (m *Manager) DeleteDeadRentals(reportsArrive bool, reportsSince time.Duration) {
+	m.updateRisk()
 	var failed, neverUp []string
-	for _, r := range f.Rentals {
-		if r.Deleted {
+	for _, rental := range m.Rentals {
+		if rental.Deleting {
 			continue
 		}
-		if r.Listed == wire.MachineFailed {
-			failed = append(failed, r.ID)
+		if rental.ListedStatus == wire.MachineFailed {
+			failed = append(failed, rental.ID)
 			continue
 		}
-		t := f.Types[r.Kind.Class]
-		if t == nil || r.Up {
+		machineType := m.Types[rental.Kind.Class]
+		if machineType == nil || rental.Up {
 			continue
 		}
-		boot := limits.Seconds(t.BootS * limits.BootFactor)
-		known := r.Known
-		if r.WasUp || r.Listed == wire.MachineRunning {
-			// It came up, so it is this node that it can't reach. Guards against a new
-			// owner without its workers, which returned the whole fleet.
-			if !hearing {
+		boot := limits.Seconds(machineType.BootS * limits.BootFactor)
+		waitingSince := rental.TrackedSince
+		if rental.WasUp || rental.ListedStatus == wire.MachineRunning {
+			// The machine was up, so it may still run and only fail to reach this
+			// node. Without this check, a new owner that no worker could reach
+			// returned the whole fleet.
+			if !reportsArrive {
 				continue
 			}
-			known = max(known, from)
+			waitingSince = max(waitingSince, reportsSince)
 		}
-		// Known guards against a takeover that returns running machines
-		// only because they have not reported to the new owner yet.
-		if f.now-r.Since > boot+limits.BootSlack && f.now-known > f.ReportWithin {
-			neverUp = append(neverUp, r.ID)
+		// Without the check of waitingSince, a takeover would return running
+		// machines only because they have not reported to the new owner yet.
+		if m.now-rental.RentedAt > boot+limits.BootSlack && m.now-waitingSince > m.ReportTimeout {
+			neverUp = append(neverUp, rental.ID)
 		}
 	}
-	f.deleteAll(failed, ReturnFailed)
-	f.deleteAll(neverUp, ReturnNeverUp)
+	m.deleteAll(failed, ReturnFailed)
+	m.deleteAll(neverUp, ReturnNeverUp)
 }
 
-// Booting counts the machines of a kind that are still to come up. Those that have
-// not found a new owner in time don't count: guards against a fleet of which half
-// was cut off when its owner ended, and for which nothing was rented meanwhile.
-func (f *Manager) Booting() map[Kind]int {
-	n := map[Kind]int{}
-	for _, r := range f.Rentals {
-		if !r.Up && !r.Deleted && !(r.WasUp && f.now-r.Known > f.TakeoverRound) {
-			n[r.Kind]++
+// Booting returns, for each kind, how many machines are requested or rented but not
+// up yet. A machine that was up and has not reported to the new owner within
+// TakeoverTimeout is not counted. If it were, no replacements would be rented when
+// half of a fleet is cut off while its owner fails.
+func (m *Manager) Booting() map[Kind]int {
+	counts := map[Kind]int{}
+	for _, rental := range m.Rentals {
+		if !rental.Up && !rental.Deleting && !(rental.WasUp && m.now-rental.TrackedSince > m.TakeoverTimeout) {
+			counts[rental.Kind]++
 		}
 	}
-	for k, c := range f.renting {
-		n[k] += c
+	for kind, count := range m.inFlight {
+		counts[kind] += count
 	}
-	for _, h := range f.unconfirmed {
-		n[h.kind] += h.req.Count
+	for _, request := range m.unconfirmed {
+		counts[request.kind] += request.payload.Count
 	}
-	return n
+	return counts
 }
 
-// SpotLost records that a spot machine was taken back or vanished.
-func (f *Manager) SpotLost() { f.losses++ }
+// RecordSpotLoss records that the cloud recalled a spot machine or that it fell
+// silent.
+func (m *Manager) RecordSpotLoss() { m.spotLosses++ }
 
-// updateRisk lets the record of spot losses go on and fade.
-func (f *Manager) updateRisk() {
-	d := f.now - f.riskAt
-	f.riskAt = f.now
-	keep := math.Exp(-d.Seconds() / limits.RiskMemory.Seconds())
+// updateRisk adds the time since the last update to the record of spot losses and
+// applies its decay.
+func (m *Manager) updateRisk() {
+	elapsed := m.now - m.riskUpdatedAt
+	m.riskUpdatedAt = m.now
+	keep := math.Exp(-elapsed.Seconds() / limits.SpotRiskDecayTime.Seconds())
 	up := 0.0
-	for _, r := range f.Rentals {
-		if r.Up && r.Kind.Spot {
+	for _, rental := range m.Rentals {
+		if rental.Up && rental.Kind.Spot {
 			up++
 		}
 	}
-	f.losses *= keep
-	f.hours = f.hours*keep + up*d.Hours()
+	m.spotLosses *= keep
+	m.spotHours = m.spotHours*keep + up*elapsed.Hours()
 }
 
-// SpotRisk is the chance that a spot machine is lost within a time.
-func (f *Manager) SpotRisk(seconds float64) float64 {
-	rate := (f.losses + limits.RiskPrior) / (f.hours + limits.RiskPrior)
+// SpotRisk returns the probability that a spot machine is lost within a number of
+// seconds.
+func (m *Manager) SpotRisk(seconds float64) float64 {
+	rate := (m.spotLosses + limits.SpotRiskPrior) / (m.spotHours + limits.SpotRiskPrior)
 	return 1 - math.Exp(-rate*seconds/3600)
 }
 
-// Price is what a kind costs an hour now.
-func (f *Manager) Price(k Kind) float64 {
-	t := f.Types[k.Class]
-	if t == nil {
+// Price returns the current hourly price of a kind, or infinity if its class is
+// unknown.
+func (m *Manager) Price(kind Kind) float64 {
+	machineType := m.Types[kind.Class]
+	if machineType == nil {
 		return math.Inf(1)
 	}
-	if k.Spot {
-		return t.SpotPrice
+	if kind.Spot {
+		return machineType.SpotPrice
 	}
-	return t.Price
+	return machineType.Price
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -9,115 +9,123 @@
 	"umberpaddle/internal/wire"
 )
 
-func pack(t *testing.T, v any) []byte {
+// encode returns value as the cloud sends it.
+func encode(t *testing.T, value any) []byte {
 	t.Helper()
-	b, err := wire.Encode(v)
+	encoded, err := wire.Encode(value)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return b
+	return encoded
 }
 
-// step lets time pass and returns the calls other than for prices and lists.
-func step(t *testing.T, f *Manager, now time.Duration) []Call {
+// tick advances the clock, answers the reads of machine types and lists, and returns
+// the other calls.
+func tick(t *testing.T, manager *Manager, now time.Duration) []Call {
 	t.Helper()
-	var rest []Call
-	for _, c := range f.Tick(now, true, 1) {
+	var calls []Call
+	for _, call := range manager.Tick(now, true, 1) {
 		switch {
-		case c.Path == "/machine_types":
-			f.Reply(now, c.ID, 200, pack(t, wire.MachineTypes{Types: []wire.MachineType{{Name: "c", BootS: 10}}}))
-		case strings.HasPrefix(c.Path, "/hosts?"):
-			f.Reply(now, c.ID, 200, pack(t, wire.MachineList{}))
+		case call.Path == "/machine_types":
+			manager.Reply(now, call.ID, 200, encode(t, wire.MachineTypes{Types: []wire.MachineType{{Name: "c", BootS: 10}}}))
+		case strings.HasPrefix(call.Path, "/hosts?"):
+			manager.Reply(now, call.ID, 200, encode(t, wire.MachineList{}))
 		default:
-			rest = append(rest, c)
+			calls = append(calls, call)
 		}
 	}
-	return rest
+	return calls
 }
 
-func TestUnansweredRentalIsRepeatedByName(t *testing.T) {
-	f := New(10, 4, "p", func(slog.Level, string, ...any) {})
-	var gone []string
-	f.OnGone = func(id string) { gone = append(gone, id) }
+// TestUnansweredCallsAreRetried checks that a rental without an answer is retried under
+// its name and counted meanwhile, and that a deletion is retried until the cloud
+// confirms it.
+func TestUnansweredCallsAreRetried(t *testing.T) {
+	manager := New(10, 4, "p", func(slog.Level, string, ...any) {})
+	var deleted []string
+	manager.OnDeleted = func(id string) { deleted = append(deleted, id) }
 	now := time.Second
-	step(t, f, now)
-	k := Kind{Class: "c", Zone: "z", Spot: true}
-	f.Rent(k, 3)
-	calls := step(t, f, now)
-	first := calls[0].Body.(wire.Hire)
-	f.Reply(now, calls[0].ID, 0, nil)
-	if f.MayRent(k) || f.Booting()[k] != 3 {
-		t.Fatal("an unanswered rental is not counted")
+	tick(t, manager, now)
+	kind := Kind{Class: "c", Zone: "z", Spot: true}
+	manager.Rent(kind, 3)
+	calls := tick(t, manager, now)
+	first := calls[0].Body.(wire.RentalRequest)
+	manager.Reply(now, calls[0].ID, 0, nil)
+	if manager.MayRent(kind) || manager.Booting()[kind] != 3 {
+		t.Fatal("an unanswered rental request does not block others of its kind or is not counted")
 	}
 	now += 5 * time.Second
-	calls = step(t, f, now)
-	if len(calls) != 1 || calls[0].Body.(wire.Hire) != first {
-		t.Fatalf("repeated as %+v, want %+v", calls, first)
+	calls = tick(t, manager, now)
+	if len(calls) != 1 || calls[0].Body.(wire.RentalRequest) != first {
+		t.Fatalf("retried as %+v, want %+v", calls, first)
 	}
-	f.Reply(now, calls[0].ID, 200, pack(t, wire.Machines{Machines: []string{"i-1", "i-2"}}))
-	if f.Booting()[k] != 2 || f.Available(k) || len(f.Rentals) != 2 {
-		t.Errorf("booting %v, hirable %v", f.Booting(), f.Available(k))
+	manager.Reply(now, calls[0].ID, 200, encode(t, wire.MachineIDs{Machines: []string{"i-1", "i-2"}}))
+	if manager.Booting()[kind] != 2 || manager.Available(kind) || len(manager.Rentals) != 2 {
+		t.Errorf("booting %v, available %v", manager.Booting(), manager.Available(kind))
 	}
 	now += 10 * time.Second
-	step(t, f, now)
-	f.Rent(k, 1)
-	if again := step(t, f, now)[0].Body.(wire.Hire); again.Request == first.Request {
-		t.Error("a request name was used again")
+	tick(t, manager, now)
+	manager.Rent(kind, 1)
+	if second := tick(t, manager, now)[0].Body.(wire.RentalRequest); second.Request == first.Request {
+		t.Error("a new request has the name of an earlier one")
 	}
 
-	// A deletion counts once it is answered with 200, and is repeated before.
-	f.Delete("i-1", ReturnIdle)
-	calls = step(t, f, now)
-	f.Reply(now, calls[0].ID, 0, nil)
-	if len(gone) != 0 {
-		t.Fatal("gone without an answer")
+	// A deletion is retried until the cloud answers it with status 200.
+	manager.Delete("i-1", ReturnIdle)
+	calls = tick(t, manager, now)
+	manager.Reply(now, calls[0].ID, 0, nil)
+	if len(deleted) != 0 {
+		t.Fatal("the machine counts as deleted without an answer")
 	}
 	now += 5 * time.Second
-	calls = step(t, f, now)
-	f.Reply(now, calls[0].ID, 200, nil)
-	if len(gone) != 1 || !f.IsGone("i-1") || f.Track("i-1", k, now) != nil {
-		t.Errorf("gone %v", gone)
+	calls = tick(t, manager, now)
+	manager.Reply(now, calls[0].ID, 200, nil)
+	if len(deleted) != 1 || !manager.IsDeleted("i-1") || manager.Track("i-1", kind, now) != nil {
+		t.Errorf("deleted %v, want only i-1, which can't be tracked again", deleted)
 	}
-	// One that never comes up goes in the end.
+	// A machine that never comes up is marked for deletion in the end.
 	now += 2 * time.Minute
-	step(t, f, now)
-	f.RemoveDeadRentals(true, 0)
-	if !f.Rentals["i-2"].Deleted {
-		t.Error("a machine that never came up is kept")
+	tick(t, manager, now)
+	manager.DeleteDeadRentals(true, 0)
+	if !manager.Rentals["i-2"].Deleting {
+		t.Error("a machine that never came up is not marked for deletion")
 	}
 }
 
+// TestSpotRiskFollowsLosses checks that the risk of spot machines rises with losses and
+// decays without them.
 func TestSpotRiskFollowsLosses(t *testing.T) {
-	f := New(10, 4, "p", func(slog.Level, string, ...any) {})
-	f.Track("i-1", Kind{Spot: true}, 0).Up = true
-	calm := f.SpotRisk(60)
+	manager := New(10, 4, "p", func(slog.Level, string, ...any) {})
+	manager.Track("i-1", Kind{Spot: true}, 0).Up = true
+	baseline := manager.SpotRisk(60)
 	for i := 0; i < 5; i++ {
-		f.SpotLost()
+		manager.RecordSpotLoss()
 	}
-	if f.SpotRisk(60) < 2*calm {
-		t.Errorf("risk %v after losses, %v before", f.SpotRisk(60), calm)
+	if manager.SpotRisk(60) < 2*baseline {
+		t.Errorf("risk %v after losses, %v before", manager.SpotRisk(60), baseline)
 	}
-	f.now = time.Hour
-	f.RemoveDeadRentals(true, 0)
-	if f.SpotRisk(60) > calm {
-		t.Errorf("risk %v an hour later, %v before", f.SpotRisk(60), calm)
+	manager.now = time.Hour
+	manager.DeleteDeadRentals(true, 0)
+	if manager.SpotRisk(60) > baseline {
+		t.Errorf("risk %v an hour later, %v before", manager.SpotRisk(60), baseline)
 	}
 }
 
-// TestMissingMachinesAreNoSupply: what was up under an earlier owner and has not
-// found this one in time is no machine on its way; one that boots still is.
-func TestMissingMachinesAreNoSupply(t *testing.T) {
-	f := New(10, 4, "p", func(slog.Level, string, ...any) {})
-	f.TakeoverRound = 8 * time.Second
-	step(t, f, time.Second)
-	k := Kind{Class: "c", Zone: "z"}
-	f.Track("i-1", k, time.Second).WasUp = true
-	f.Track("i-2", k, time.Second)
-	if n := f.Booting()[k]; n != 2 {
-		t.Errorf("%d on their way at first, want 2", n)
+// TestUnreachableMachinesAreNotBooting checks that a machine that was up under an
+// earlier owner and has not reported to this one in time does not count as booting,
+// while a new machine still does. Otherwise no replacement is rented for it.
+func TestUnreachableMachinesAreNotBooting(t *testing.T) {
+	manager := New(10, 4, "p", func(slog.Level, string, ...any) {})
+	manager.TakeoverTimeout = 8 * time.Second
+	tick(t, manager, time.Second)
+	kind := Kind{Class: "c", Zone: "z"}
+	manager.Track("i-1", kind, time.Second).WasUp = true
+	manager.Track("i-2", kind, time.Second)
+	if n := manager.Booting()[kind]; n != 2 {
+		t.Errorf("%d machines booting at first, want 2", n)
 	}
-	step(t, f, 10*time.Second)
-	if n := f.Booting()[k]; n != 1 {
-		t.Errorf("%d on their way after a round, want 1", n)
+	tick(t, manager, 10*time.Second)
+	if n := manager.Booting()[kind]; n != 1 {
+		t.Errorf("%d machines booting after the takeover timeout, want 1", n)
 	}
 }
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -1,7 +1,7 @@
-// Package history judges from outside what users were told: a recording of all requests and
-// answers, each with the times at which it was sent and answered on one clock, is checked
-// against the rules of the protocol. It knows nothing of the controllers' state. Of the rules about
-// where tasks run it checks that cancelled ones end, against what the workers really ran.
+// Package history checks the answers to users against the rules of the protocol. It uses only a
+// recording of all requests and answers, with the times at which they were sent and answered on one
+// clock, and not the state of the controllers. Of the rules about where tasks run, it checks that
+// cancelled tasks end, based on what the workers actually ran.
 package history
 
 import (
@@ -13,17 +13,17 @@
 	"umberpaddle/internal/wire"
 )
 
-// Kind is what a request asks for.
+// Kind is the kind of a request.
 type Kind string
 
 // Kinds of requests.
 const (
 	Submission   Kind = "submission"
-	Question     Kind = "question"
+	Query        Kind = "question"
 	Cancellation Kind = "cancellation"
 )
 
-// Exchange is one request of a user with what came of it.
+// Exchange is one request of a user and its answer.
 type Exchange struct {
 	Kind       Kind
 	Job        string
@@ -31,15 +31,15 @@
 	SentAt     time.Duration
 	AnsweredAt time.Duration
 	Status     int           // 0: no answer
-	State      wire.JobState // with status 200 and 201
+	State      wire.JobState // set with status 200 and 201
 }
 
 func (e Exchange) String() string {
 	return fmt.Sprintf("%s at %s, sent at %.3f s, answered at %.3f s: %d %s", e.Kind, e.Node, e.SentAt.Seconds(), e.AnsweredAt.Seconds(), e.Status, e.State)
 }
 
-// TaskRun is the time that an attempt of a task spent on a machine: from the moment it could
-// execute until it ended, or its machine was gone or had to forget it.
+// TaskRun is the time that an attempt of a task spent on a machine: from when it could first execute
+// until it ended, or its machine was gone or had to drop it.
 type TaskRun struct {
 	Job     string
 	Task    string
@@ -52,150 +52,156 @@
 	return fmt.Sprintf("%s on %s from %.3f to %.3f s", r.Task, r.Machine, r.Began.Seconds(), r.Ended.Seconds())
 }
 
-// Recording is all that was seen from outside.
+// Recording holds everything that was observed from outside the controllers.
 type Recording struct {
 	Exchanges []Exchange
-	// Runs are all times that tasks spent on machines, and CancelWithin is the time that the tasks
-	// of a cancelled job have to be gone.
+	// Runs are all runs of tasks. CancelWithin is the time within which the tasks of a cancelled
+	// job must have ended.
 	Runs         []TaskRun
 	CancelWithin time.Duration
-	// Completed is when the last task of a job was completed.
+	// Completed is the time at which the last task of a job was completed, by job.
 	Completed map[string]time.Duration
 }
 
-// Rule names a rule of the protocol.
+// Rule identifies a rule of the protocol by the way in which it is violated.
 type Rule string
 
 // The rules that are checked.
 const (
-	WentBack  Rule = "went_back"
-	Forgotten Rule = "forgotten"
-	Invented  Rule = "invented"
-	NotDone   Rule = "not_done"
-	// RanCancelled: a task is on a machine too long after its user was told of the cancellation.
-	RanCancelled Rule = "ran_cancelled"
+	// StateRegressed means that an answer reports an earlier state than a previous answer, a
+	// different final state, or a cancellation that no user requested.
+	StateRegressed Rule = "went_back"
+	// JobLost means that a job is reported as unknown, or refused, after it was accepted.
+	JobLost Rule = "forgotten"
+	// NeverSubmitted means that a job is reported as accepted before any user submitted it.
+	NeverSubmitted Rule = "invented"
+	// DoneTooEarly means that a job is reported as done before its last task was completed.
+	DoneTooEarly Rule = "not_done"
+	// RanAfterCancel means that a task runs for too long after an answer confirmed the
+	// cancellation of its job.
+	RanAfterCancel Rule = "ran_cancelled"
 )
 
-// Violation is a broken rule.
+// Violation is a violation of a rule by an answer or a task run.
 type Violation struct {
 	Rule   Rule
 	Job    string
 	Answer Exchange
-	// Earlier is the answer that contradicts it, if there is one.
+	// Earlier is the earlier answer that contradicts Answer, or nil.
 	Earlier *Exchange
-	// Run is the task that ran on after the answer, if it was one.
+	// Run is the task run that lasted too long after Answer, or nil.
 	Run *TaskRun
 }
 
 func (v Violation) String() string {
 	if v.Run != nil {
-		return fmt.Sprintf("%s: %s; told: %s", v.Rule, *v.Run, v.Answer)
+		return fmt.Sprintf("%s: %s; cancellation confirmed: %s", v.Rule, *v.Run, v.Answer)
 	}
 	if v.Earlier == nil {
 		return fmt.Sprintf("%s: %s: %s", v.Rule, v.Job, v.Answer)
 	}
-	return fmt.Sprintf("%s: %s: %s; before: %s", v.Rule, v.Job, v.Answer, *v.Earlier)
+	return fmt.Sprintf("%s: %s: %s; earlier answer: %s", v.Rule, v.Job, v.Answer, *v.Earlier)
 }
 
-// knowledge orders what an answer says of a job: no answer may say less than one that a user
-// had got before its request was sent.
-type knowledge int
+// reportedState is the state of a job that an answer reports, in ascending order. No answer may
+// report a lower state than one that a user had received before the request was sent.
+type reportedState int
 
 const (
-	unsaid knowledge = iota
-	unknown
-	accepted
-	final
+	reportedNothing reportedState = iota
+	reportedUnknown
+	reportedAccepted
+	reportedFinal
 )
 
-// says tells what an answer says of its job.
-func (e Exchange) says() knowledge {
+// reported returns the state that an answer reports.
+func (e Exchange) reported() reportedState {
 	switch {
 	case e.Status == 404:
-		return unknown
+		return reportedUnknown
 	case e.Status != 200 && e.Status != 201:
-		return unsaid
+		return reportedNothing
 	case e.State == wire.StatusDone || e.State == wire.StatusCancelled:
-		return final
+		return reportedFinal
 	}
-	return accepted
+	return reportedAccepted
 }
 
-// Check lists the rules that a recording breaks, in the order of the answers.
+// Check returns the violations in a recording, ordered by the time of the answer.
 func Check(r Recording) []Violation {
 	byJob := map[string][]Exchange{}
 	for _, e := range r.Exchanges {
 		byJob[e.Job] = append(byJob[e.Job], e)
 	}
-	var broken []Violation
-	for job, list := range byJob {
+	var violations []Violation
+	for job, exchanges := range byJob {
 		completed, done := r.Completed[job]
-		broken = append(broken, checkJob(job, list, completed, done)...)
+		violations = append(violations, checkJob(job, exchanges, completed, done)...)
 	}
-	broken = append(broken, checkRuns(r, byJob)...)
-	slices.SortFunc(broken, func(a, b Violation) int {
+	violations = append(violations, checkRuns(r, byJob)...)
+	slices.SortFunc(violations, func(a, b Violation) int {
 		return cmp.Or(cmp.Compare(a.Answer.AnsweredAt, b.Answer.AnsweredAt), cmp.Compare(a.Job, b.Job))
 	})
-	return broken
+	return violations
 }
 
 // checkJob checks the answers about one job.
-func checkJob(job string, list []Exchange, completed time.Duration, done bool) (broken []Violation) {
-	answered := slices.Clone(list)
+func checkJob(job string, exchanges []Exchange, completed time.Duration, done bool) (violations []Violation) {
+	answered := slices.Clone(exchanges)
 	slices.SortFunc(answered, func(a, b Exchange) int { return cmp.Compare(a.AnsweredAt, b.AnsweredAt) })
-	firstAsked := earliestSent(list, Submission)
-	firstCancel := earliestSent(list, Cancellation)
+	firstSubmission := earliestSent(exchanges, Submission)
+	firstCancellation := earliestSent(exchanges, Cancellation)
 	for i, answer := range answered {
 		add := func(rule Rule, earlier *Exchange) {
-			broken = append(broken, Violation{Rule: rule, Job: job, Answer: answer, Earlier: earlier})
+			violations = append(violations, Violation{Rule: rule, Job: job, Answer: answer, Earlier: earlier})
 		}
-		if earlier := newestBefore(answered[:i], answer.SentAt); earlier != nil {
+		if earlier := highestBefore(answered[:i], answer.SentAt); earlier != nil {
 			if rule, contradicted := contradiction(*earlier, answer); contradicted {
 				add(rule, earlier)
 			}
 		}
-		says := answer.says()
-		if end := firstEnd(answered[:i]); end != nil && says == final && end.State != answer.State {
-			add(WentBack, end)
+		state := answer.reported()
+		if earlier := firstFinalAnswer(answered[:i]); earlier != nil && state == reportedFinal && earlier.State != answer.State {
+			add(StateRegressed, earlier)
 		}
 		switch {
-		case says >= accepted && (firstAsked < 0 || firstAsked > answer.AnsweredAt):
-			add(Invented, nil)
-		case answer.State == wire.StatusCancelled && says == final && (firstCancel < 0 || firstCancel > answer.AnsweredAt):
-			add(WentBack, nil)
-		case answer.State == wire.StatusDone && says == final && (!done || completed > answer.AnsweredAt):
-			add(NotDone, nil)
+		case state >= reportedAccepted && (firstSubmission < 0 || firstSubmission > answer.AnsweredAt):
+			add(NeverSubmitted, nil)
+		case answer.State == wire.StatusCancelled && state == reportedFinal && (firstCancellation < 0 || firstCancellation > answer.AnsweredAt):
+			add(StateRegressed, nil)
+		case answer.State == wire.StatusDone && state == reportedFinal && (!done || completed > answer.AnsweredAt):
+			add(DoneTooEarly, nil)
 		}
 	}
-	return broken
+	return violations
 }
 
-// checkRuns checks that the tasks of cancelled jobs were gone in time, counted from the first answer
-// that told a user.
-func checkRuns(r Recording, byJob map[string][]Exchange) (broken []Violation) {
+// checkRuns checks that the tasks of cancelled jobs ended in time after the first answer that
+// confirmed the cancellation.
+func checkRuns(r Recording, byJob map[string][]Exchange) (violations []Violation) {
 	for _, run := range r.Runs {
-		told := firstTold(byJob[run.Job], wire.StatusCancelled)
-		if told != nil && run.Ended > told.AnsweredAt+r.CancelWithin {
-			broken = append(broken, Violation{Rule: RanCancelled, Job: run.Job, Answer: *told, Run: &run})
+		confirmation := firstAnswerWith(byJob[run.Job], wire.StatusCancelled)
+		if confirmation != nil && run.Ended > confirmation.AnsweredAt+r.CancelWithin {
+			violations = append(violations, Violation{Rule: RanAfterCancel, Job: run.Job, Answer: *confirmation, Run: &run})
 		}
 	}
-	return broken
+	return violations
 }
 
-// firstTold returns the earliest answer that told a final state, or nil.
-func firstTold(list []Exchange, state wire.JobState) (first *Exchange) {
-	for i, e := range list {
-		if e.says() == final && e.State == state && (first == nil || e.AnsweredAt < first.AnsweredAt) {
-			first = &list[i]
+// firstAnswerWith returns the earliest answer that reports the given final state, or nil.
+func firstAnswerWith(exchanges []Exchange, state wire.JobState) (first *Exchange) {
+	for i, e := range exchanges {
+		if e.reported() == reportedFinal && e.State == state && (first == nil || e.AnsweredAt < first.AnsweredAt) {
+			first = &exchanges[i]
 		}
 	}
 	return first
 }
 
-// earliestSent is when the first request of a kind was sent, or -1.
-func earliestSent(list []Exchange, kind Kind) time.Duration {
+// earliestSent returns the time at which the first request of a kind was sent, or -1.
+func earliestSent(exchanges []Exchange, kind Kind) time.Duration {
 	first := time.Duration(-1)
-	for _, e := range list {
+	for _, e := range exchanges {
 		if e.Kind == kind && (first < 0 || e.SentAt < first) {
 			first = e.SentAt
 		}
@@ -203,40 +209,41 @@
 	return first
 }
 
-// newestBefore returns the answer that says most among those given by a time.
-func newestBefore(answered []Exchange, at time.Duration) *Exchange {
-	var most *Exchange
+// highestBefore returns the answer with the highest reported state among those given by a time, or
+// nil. The answers are ordered by time.
+func highestBefore(answered []Exchange, at time.Duration) *Exchange {
+	var highest *Exchange
 	for i, e := range answered {
 		if e.AnsweredAt > at {
 			break
 		}
-		if e.says() > unsaid && (most == nil || e.says() > most.says()) {
-			most = &answered[i]
+		if e.reported() > reportedNothing && (highest == nil || e.reported() > highest.reported()) {
+			highest = &answered[i]
 		}
 	}
-	return most
+	return highest
 }
 
-// firstEnd returns the first answer that told the job's end. There is one end only, whatever the
-// order of the requests.
-func firstEnd(answered []Exchange) *Exchange {
-	i := slices.IndexFunc(answered, func(e Exchange) bool { return e.says() == final })
+// firstFinalAnswer returns the first answer that reports a final state, or nil. A job has only one
+// final state, whatever the order of the requests.
+func firstFinalAnswer(answered []Exchange) *Exchange {
+	i := slices.IndexFunc(answered, func(e Exchange) bool { return e.reported() == reportedFinal })
 	if i < 0 {
 		return nil
 	}
 	return &answered[i]
 }
 
-// contradiction tells whether an answer says less than one that was given before its request
-// was sent.
+// contradiction reports whether an answer reports a lower state than one that was given before its
+// request was sent, and which rule it violates.
 func contradiction(earlier, answer Exchange) (Rule, bool) {
-	was, says := earlier.says(), answer.says()
+	before, after := earlier.reported(), answer.reported()
 	refused := answer.Kind == Submission && (answer.Status == 400 || answer.Status == 422)
 	switch {
-	case was >= accepted && (says == unknown || refused):
-		return Forgotten, true
-	case was == final && says == accepted:
-		return WentBack, true
+	case before >= reportedAccepted && (after == reportedUnknown || refused):
+		return JobLost, true
+	case before == reportedFinal && after == reportedAccepted:
+		return StateRegressed, true
 	}
 	return "", false
 }
--- a/internal/jobs/answers.go
+++ b/internal/jobs/answers.go
@@ -35,7 +35,7 @@
 }
 
 func (r *Registry) newWaiter(job string, wait time.Duration, reply func(Answer)) *waiter {
-	return &waiter{jobID: job, arrivedAfter: r.store.LastCall(), deadline: r.now + wait, reply: reply}
+	return &waiter{jobID: job, arrivedAfter: r.store.LastCallID(), deadline: r.now + wait, reply: reply}
 }
 
 // answer sends an answer that can't be stale: one that doesn't depend on the job's state, or the
--- a/internal/jobs/cancellations.go
+++ b/internal/jobs/cancellations.go
@@ -16,13 +16,13 @@
 // Cancel cancels a job unless it has ended.
 func (r *Registry) Cancel(now time.Duration, id string, answer func(Answer)) {
 	r.now = max(r.now, now)
-	r.startLookup(&lookup{waiter: r.newWaiter(id, limits.SubmitWait, answer), cancel: true})
+	r.startLookup(&lookup{waiter: r.newWaiter(id, limits.SubmitTimeout, answer), cancel: true})
 }
 
 // readVersionAndCancel reads the version of a job that is not in the mirror yet, and cancels it.
 func (r *Registry) readVersionAndCancel(request *lookup) {
-	r.store.Get(statestore.User, limits.PollWait, keyJob+request.jobID, func(reply statestore.Reply) {
-		var row wire.Row
+	r.store.Get(statestore.PriorityUser, limits.QueryTimeout, keyJob+request.jobID, func(reply statestore.Reply) {
+		var row wire.KeyValue
 		if reply.Status != statestore.OK || wire.Decode(reply.Body, &row) != nil {
 			request.answer(RetryLater())
 			return
@@ -43,11 +43,11 @@
 	txn := wire.Txn{
 		Guards: []wire.Guard{{Key: keyJob + request.jobID, Version: version}, {Key: keyFinal + request.jobID}},
 		Then:   []wire.Op{{Key: keyFinal + request.jobID, Value: final}, {Key: keyCancelled + request.jobID, Value: true}}}
-	r.store.Txn(statestore.User, limits.SubmitWait, txn, func(reply statestore.Reply) {
+	r.store.Txn(statestore.PriorityUser, limits.SubmitTimeout, txn, func(reply statestore.Reply) {
 		switch reply.Status {
 		case statestore.OK:
 			r.cacheFinal(request.jobID, final)
-			r.log(slog.LevelInfo, "cancellation confirmed to its user", "job", request.jobID, "call", reply.Call)
+			r.log(slog.LevelInfo, "cancellation confirmed to its user", "job", request.jobID, "call", reply.CallID)
 			request.answer(finalAnswer(request.jobID, final))
 		case statestore.Conflict:
 			r.answerWithFinal(request)
@@ -150,7 +150,7 @@
 		if r.cancelled[id] != nil {
 			continue // included above
 		}
-		if r.now-confirmedAt > limits.CancelNoticeFor && r.recordRemoved(id, confirmedAt) {
+		if r.now-confirmedAt > limits.CancelNoticeRetention && r.recordRemoved(id, confirmedAt) {
 			delete(r.confirmedCancellations, id)
 			continue
 		}
--- a/internal/jobs/done_sets.go
+++ b/internal/jobs/done_sets.go
@@ -42,7 +42,7 @@
 
 // DropPendingWrites drops the done-set writes that are pending for a class this node no longer owns.
 func (r *Registry) DropPendingWrites(class string) {
-	r.doneSets.Forget(class)
+	r.doneSets.DropPending(class)
 	for _, j := range r.Open {
 		if j.GuardClass == class {
 			j.doneSetRequested = false
@@ -61,7 +61,7 @@
 // were not removed in the transaction that finalized the job.
 func (r *Registry) removeOrphans() {
 	for id := range r.orphanDoneSets {
-		r.doneSets.Remove(id, limits.PageDelay)
+		r.doneSets.Remove(id, limits.DeferredWriteDelay)
 	}
 	if len(r.orphanChunks) == 0 || r.removingOrphans {
 		return
@@ -82,7 +82,7 @@
 		return
 	}
 	r.removingOrphans = true
-	r.store.Txn(statestore.Progress, limits.StoreTimeout*2, txn, func(statestore.Reply) { r.removingOrphans = false })
+	r.store.Txn(statestore.PriorityProgress, limits.StoreTimeout*2, txn, func(statestore.Reply) { r.removingOrphans = false })
 }
 
 // Prepare writes the job's done set, which marks that its tasks may be running. It must be called
@@ -96,11 +96,11 @@
 			j.doneSetRequested = true
 			// The wait lets the done sets of many small jobs share one write. Without it,
 			// jobs that arrived together waited for one write each, one after the other.
-			wait := min(r.store.WriteWait(statestore.Finish), limits.PrepareWait)
+			wait := min(r.store.WriteWait(statestore.PriorityFinish), limits.MaxPrepareWait)
 			r.doneSets.SetUrgent(j.GuardClass, j.ID, j.Done.encodeChunk(0, limits.ChunkTasks), wait)
 		}
 	case !j.chunkWriteInFlight:
-		r.writeChunk(j, 0, statestore.Records)
+		r.writeChunk(j, 0, statestore.PriorityRecords)
 	}
 }
 
@@ -110,7 +110,7 @@
 	j.chunkWriteInFlight = true
 	prefix, chunkTasks, keyIndex := keyChunk, limits.ChunkTasks, chunkIndex
 	if r.recordFormat() < 2 {
-		prefix, chunkTasks = keyLargeChunk, limits.OldChunkTasks
+		prefix, chunkTasks = keyLargeChunk, limits.Format1ChunkTasks
 		keyIndex = chunkIndex * limits.ChunkTasks / chunkTasks
 	}
 	key := prefix + j.ID + "/" + strconv.Itoa(keyIndex)
--- a/internal/jobs/final_states.go
+++ b/internal/jobs/final_states.go
@@ -44,9 +44,9 @@
 // is scarce. Its done set stays until then, too.
 func (r *Registry) finalizeTxn(j *Job, status wire.JobState) (txn wire.Txn, priority statestore.Priority, removeLater bool) {
 	txn.Guards = []wire.Guard{r.ownerGuard(j.GuardClass), {Key: keyJob + j.ID, Version: j.version}}
-	priority = statestore.Progress
+	priority = statestore.PriorityProgress
 	if status != "" {
-		priority = statestore.Finish
+		priority = statestore.PriorityFinish
 		txn.Guards = append(txn.Guards, wire.Guard{Key: keyFinal + j.ID})
 		txn.Then = append(txn.Then, wire.Op{Key: keyFinal + j.ID, Value: finalState{Status: status, Done: j.DoneCount}})
 	}
@@ -60,7 +60,7 @@
 	// Chunks that don't fit into the transaction are removed later by removeOrphans. They have
 	// no meaning without the job.
 	for _, key := range slices.Sorted(maps.Keys(j.chunkVersions)) {
-		if !removeLater && len(txn.Then) < r.store.TxnOps {
+		if !removeLater && len(txn.Then) < r.store.MaxTxnOps {
 			txn.Then = append(txn.Then, wire.Op{Remove: key})
 		}
 	}
@@ -84,7 +84,7 @@
 // readFinalOfOwnedJob reads the final state that another owner wrote for a job of this node, and
 // finalizes the job if it completed.
 func (r *Registry) readFinalOfOwnedJob(j *Job) {
-	r.store.Get(statestore.Finish, limits.PollWait, keyFinal+j.ID, func(reply statestore.Reply) {
+	r.store.Get(statestore.PriorityFinish, limits.QueryTimeout, keyFinal+j.ID, func(reply statestore.Reply) {
 		final, ok := decodeFinal(reply)
 		if ok && final.Status == wire.StatusDone && r.Open[j.ID] == j && len(j.Assigned) == 0 {
 			r.cacheFinal(j.ID, final)
@@ -95,7 +95,7 @@
 
 // decodeFinal decodes the reply to a read of a final state.
 func decodeFinal(reply statestore.Reply) (final finalState, ok bool) {
-	var row wire.Row
+	var row wire.KeyValue
 	ok = reply.Status == statestore.OK && wire.Decode(reply.Body, &row) == nil && wire.Decode(row.Value, &final) == nil && final.Status != ""
 	return final, ok
 }
@@ -112,7 +112,7 @@
 // removeFinalizedRecords removes the records of finalized jobs, many in one transaction. It needs
 // no owner guard, because a final state never changes.
 func (r *Registry) removeFinalizedRecords() {
-	if r.removingFinalized || len(r.finalized) == 0 || !r.store.CanSpare(1) {
+	if r.removingFinalized || len(r.finalized) == 0 || !r.store.CanSpareWrites(1) {
 		return
 	}
 	var txn wire.Txn
@@ -131,7 +131,7 @@
 		return
 	}
 	r.removingFinalized = true
-	r.store.Txn(statestore.Progress, limits.StoreTimeout*2, txn, func(statestore.Reply) { r.removingFinalized = false })
+	r.store.Txn(statestore.PriorityProgress, limits.StoreTimeout*2, txn, func(statestore.Reply) { r.removingFinalized = false })
 }
 
 // dropOpen removes a job that has ended from the open jobs. Its done set is removed by
@@ -155,7 +155,7 @@
 			r.markCancelled(id)
 		}
 		r.finalOrder = append(r.finalOrder, id)
-		if len(r.finalOrder) > limits.FinalCache {
+		if len(r.finalOrder) > limits.MaxCachedFinalStates {
 			delete(r.finals, r.finalOrder[0])
 			r.finalOrder = r.finalOrder[1:]
 		}
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -110,7 +110,7 @@
 // Faulty reports whether the failures of the job's tasks are attributed to the job itself, and not
 // to the machines.
 func (j *Job) Faulty() bool {
-	failed := len(j.FailedOn) >= limits.BadJobMachines || j.MarkedFaulty && j.DoneCount == 0
+	failed := len(j.FailedOn) >= limits.FaultyJobMachines || j.MarkedFaulty && j.DoneCount == 0
 	return failed && !j.Succeeded
 }
 
@@ -176,4 +176,4 @@
 func (j *Job) MayHaveLaunched() bool { return j.doneSetWritten || len(j.chunkVersions) > 0 }
 
 // isPacked reports whether the job's done set is small enough to share a key with other jobs.
-func (j *Job) isPacked() bool { return j.Tasks <= limits.PackedTasks }
+func (j *Job) isPacked() bool { return j.Tasks <= limits.MaxPackedTasks }
--- a/internal/jobs/lookups.go
+++ b/internal/jobs/lookups.go
@@ -18,7 +18,7 @@
 // Query answers with a state of the job that is no older than the request.
 func (r *Registry) Query(now time.Duration, id string, answer func(Answer)) {
 	r.now = max(r.now, now)
-	r.startLookup(&lookup{waiter: r.newWaiter(id, limits.PollWait, answer)})
+	r.startLookup(&lookup{waiter: r.newWaiter(id, limits.QueryTimeout, answer)})
 }
 
 // startLookup answers a request from the cache of final states, refuses it, or queues it.
@@ -31,7 +31,7 @@
 		request.answer(RetryLater())
 		return
 	}
-	if r.waitingRequests >= 2*limits.MaxWaiting {
+	if r.waitingRequests >= 2*limits.MaxWaitingRequests {
 		request.answer(Answer{Status: 429, Body: wire.ErrorBody{Error: "too many requests wait"}, RetryAfter: limits.RetryAfterS})
 		return
 	}
@@ -74,7 +74,7 @@
 		return
 	}
 	r.lookupInFlight = true
-	r.store.Txn(statestore.Query, limits.PollWait, txn, func(reply statestore.Reply) {
+	r.store.Txn(statestore.PriorityQuery, limits.QueryTimeout, txn, func(reply statestore.Reply) {
 		r.lookupInFlight = false
 		var txnReply wire.TxnReply
 		if (reply.Status != statestore.OK && reply.Status != statestore.Conflict) || wire.Decode(reply.Body, &txnReply) != nil {
@@ -83,7 +83,7 @@
 			}
 			return
 		}
-		read := stateRead{reply.Call}
+		read := stateRead{reply.CallID}
 		asked := map[string]bool{}
 		for _, guard := range txn.Guards {
 			asked[guard.Key] = true
@@ -107,7 +107,7 @@
 // nextLookups takes as many queued lookups as one transaction can answer. Cancellations of open
 // jobs are sent at once, each in its own transaction.
 func (r *Registry) nextLookups() (group []*lookup, txn wire.Txn) {
-	for len(r.queuedLookups) > 0 && len(txn.Guards)+2 <= r.store.TxnGuards {
+	for len(r.queuedLookups) > 0 && len(txn.Guards)+2 <= r.store.MaxTxnGuards {
 		request := r.queuedLookups[0]
 		r.queuedLookups = r.queuedLookups[1:]
 		if request.answered {
@@ -129,7 +129,7 @@
 
 // answerWithFinal reads the final state of a job and answers with it.
 func (r *Registry) answerWithFinal(request *lookup) {
-	r.store.Get(statestore.User, limits.PollWait, keyFinal+request.jobID, func(reply statestore.Reply) {
+	r.store.Get(statestore.PriorityUser, limits.QueryTimeout, keyFinal+request.jobID, func(reply statestore.Reply) {
 		final, ok := decodeFinal(reply)
 		if !ok {
 			request.answer(RetryLater())
--- a/internal/jobs/registry.go
+++ b/internal/jobs/registry.go
@@ -105,7 +105,7 @@
 			r.markCancelled(change.Key[len(keyCancelled):])
 		}
 	case strings.HasPrefix(change.Key, keyLargeChunk):
-		r.applyChunk(change, limits.OldChunkTasks)
+		r.applyChunk(change, limits.Format1ChunkTasks)
 	case strings.HasPrefix(change.Key, keyChunk):
 		r.applyChunk(change, limits.ChunkTasks)
 	}
@@ -217,11 +217,11 @@
 	if !mayWrite || r.now < r.nextScan {
 		return
 	}
-	r.nextScan = r.now + limits.ScanInterval
+	r.nextScan = r.now + limits.RecordScanInterval
 	flush := r.now >= r.nextFlush
 	if flush {
 		r.removeOrphans()
-		r.nextFlush = r.now + limits.BatchInterval
+		r.nextFlush = r.now + limits.DoneSetFlushInterval
 	}
 	r.removeFinalizedRecords()
 	for _, id := range r.sortedIDs() {
@@ -247,9 +247,9 @@
 	case !flush || len(j.dirtyChunks) == 0:
 	case j.isPacked():
 		clear(j.dirtyChunks)
-		r.doneSets.Set(j.GuardClass, j.ID, j.Done.encodeChunk(0, limits.ChunkTasks), limits.ScanInterval)
+		r.doneSets.Set(j.GuardClass, j.ID, j.Done.encodeChunk(0, limits.ChunkTasks), limits.RecordScanInterval)
 	case !j.chunkWriteInFlight:
-		r.writeChunk(j, slices.Min(slices.Collect(maps.Keys(j.dirtyChunks))), statestore.Progress)
+		r.writeChunk(j, slices.Min(slices.Collect(maps.Keys(j.dirtyChunks))), statestore.PriorityProgress)
 	}
 }
 
--- a/internal/jobs/registry_test.go
+++ b/internal/jobs/registry_test.go
@@ -19,7 +19,7 @@
 			set.Add(i)
 		}
 	}
-	for chunkTasks, maxBytes := range map[int]int{limits.ChunkTasks: 1500, limits.OldChunkTasks: 3500} { // a value holds 2048 or 4096 bytes
+	for chunkTasks, maxBytes := range map[int]int{limits.ChunkTasks: 1500, limits.Format1ChunkTasks: 3500} { // a value holds 2048 or 4096 bytes
 		decoded := newTaskSet(limits.MaxTasks)
 		added := 0
 		for index := 0; index*chunkTasks < limits.MaxTasks; index++ {
@@ -262,13 +262,13 @@
 		if answer.Status != 0 {
 			t.Fatalf("answer %+v", answer)
 		}
-		h.store.Txn(statestore.User, 0, wire.Txn{Then: []wire.Op{{Key: "x"}}}, func(statestore.Reply) {})
+		h.store.Txn(statestore.PriorityUser, 0, wire.Txn{Then: []wire.Op{{Key: "x"}}}, func(statestore.Reply) {})
 	}
 	if n == 1000 {
 		t.Error("1000 submissions were accepted although the write budget is used up")
 	}
 	h = newHarness(t)
-	h.store.LastOK, h.store.LastFail = h.now, h.now+limits.DownAfter+1
+	h.store.LastOK, h.store.LastFail = h.now, h.now+limits.StoreUnreachableAfter+1
 	h.now = h.store.LastFail
 	if answer := submit("job-2"); answer.Status != 503 || answer.RetryAfter == 0 {
 		t.Errorf("without the state service: %+v", answer)
--- a/internal/jobs/stale_answers_test.go
+++ b/internal/jobs/stale_answers_test.go
@@ -148,7 +148,7 @@
 				record := h.encode(&wire.Job{ID: id, Tasks: 1, Types: []string{"c"}})
 				h.registry.Apply(statestore.Change{Key: keyJob + id, Entry: statestore.Entry{Value: record, Version: 9}})
 			}
-			for _, after := range []time.Duration{0, limits.CancelNoticeFor, limits.CancelNoticeFor + time.Second, 2 * limits.CancelNoticeFor} {
+			for _, after := range []time.Duration{0, limits.CancelNoticeRetention, limits.CancelNoticeRetention + time.Second, 2 * limits.CancelNoticeRetention} {
 				h.registry.now = h.now + after
 				if got := h.registry.Cancellations(); !slices.Contains(got, id) {
 					t.Errorf("%v after the cancellation was confirmed to its user, peers receive only %v", after, got)
--- a/internal/jobs/submissions.go
+++ b/internal/jobs/submissions.go
@@ -20,7 +20,7 @@
 
 // Full reports whether the limit of waiting requests or of open jobs is reached.
 func (r *Registry) Full() bool {
-	return r.waitingRequests >= limits.MaxWaiting || len(r.Open) >= limits.MaxOpenJobs
+	return r.waitingRequests >= limits.MaxWaitingRequests || len(r.Open) >= limits.MaxOpenJobs
 }
 
 // IsAccepted reports whether the job is certain to have been accepted.
@@ -34,7 +34,7 @@
 // Submit accepts a job. One transaction makes it durable, unless the job exists already.
 func (r *Registry) Submit(now time.Duration, job *wire.Job, answer func(Answer)) {
 	r.now = max(r.now, now)
-	w := r.newWaiter(job.ID, limits.SubmitWait, answer)
+	w := r.newWaiter(job.ID, limits.SubmitTimeout, answer)
 	if sub := r.submissionsByID[job.ID]; sub != nil {
 		r.joinSubmission(sub, w)
 		return
@@ -48,7 +48,7 @@
 		answer(RetryLater())
 		return
 	}
-	if wait := r.store.WriteWait(statestore.User); wait > limits.SubmitHold {
+	if wait := r.store.WriteWait(statestore.PriorityUser); wait > limits.MaxSubmitWriteWait {
 		answer(Answer{Status: 429, Body: wire.ErrorBody{Error: "the state service's budget is used up"}, RetryAfter: int(math.Ceil(wait.Seconds()))})
 		return
 	}
@@ -107,12 +107,12 @@
 		txn.Guards = append(txn.Guards, wire.Guard{Key: keyJob + sub.job.ID}, wire.Guard{Key: keyFinal + sub.job.ID})
 		txn.Then = append(txn.Then, wire.Op{Key: keyJob + sub.job.ID, Value: sub.job})
 	}
-	r.store.Txn(statestore.User, limits.SubmitWait, txn, func(reply statestore.Reply) {
+	r.store.Txn(statestore.PriorityUser, limits.SubmitTimeout, txn, func(reply statestore.Reply) {
 		var txnReply wire.TxnReply
 		decoded := wire.Decode(reply.Body, &txnReply) == nil
 		switch {
 		case reply.Status == statestore.OK && decoded:
-			r.handleAccepted(group, stateRead{reply.Call}, txnReply.Revision)
+			r.handleAccepted(group, stateRead{reply.CallID}, txnReply.Revision)
 		case reply.Status == statestore.Conflict && decoded:
 			r.handleConflict(group, failedKeys(txnReply))
 		case reply.Status == statestore.BadRequest && len(group) > 1:
--- a/internal/ownership/extension.go
+++ b/internal/ownership/extension.go
@@ -32,7 +32,7 @@
 			return false
 		}
 	}
-	until := n.now + limits.GrantLife
+	until := n.now + limits.GrantTTL
 	if until > n.grantedUntil {
 		n.grantedUntil = until
 	}
@@ -49,8 +49,8 @@
 		n.extensions[peer] = 0
 		return
 	}
-	n.extensions[peer] = sent + time.Duration(float64(limits.ExtensionLife)*(1-limits.ClockDrift))
-	n.noTakeoverUntil[peer] = max(n.noTakeoverUntil[peer], sent+time.Duration(float64(limits.GrantLife)*(1-limits.ClockDrift)))
+	n.extensions[peer] = sent + time.Duration(float64(limits.ExtensionTTL)*(1-limits.ClockDrift))
+	n.noTakeoverUntil[peer] = max(n.noTakeoverUntil[peer], sent+time.Duration(float64(limits.GrantTTL)*(1-limits.ClockDrift)))
 }
 
 // uptimeCoversGap reports whether a peer with the given uptime would remember having taken over from
@@ -80,5 +80,5 @@
 // earlierGrantsEnded reports whether all extensions granted by earlier incarnations of this node are
 // over, or cannot concern the class because this node was its last owner.
 func (n *Node) earlierGrantsEnded(class string) bool {
-	return n.now >= n.start+limits.ExtensionLife+2*limits.LeaseMargin || n.lastOwners[class] == n.Name
+	return n.now >= n.start+limits.ExtensionTTL+2*limits.LeaseMargin || n.lastOwners[class] == n.Name
 }
--- a/internal/ownership/extension_test.go
+++ b/internal/ownership/extension_test.go
@@ -87,7 +87,7 @@
 			t.Errorf("%s: the extension is valid: %v", c.name, got)
 		}
 	}
-	if limits.GrantLife <= limits.ExtensionLife {
+	if limits.GrantTTL <= limits.ExtensionTTL {
 		t.Error("an extension must end later for the peer that granted it than for the asker")
 	}
 }
--- a/internal/ownership/lease.go
+++ b/internal/ownership/lease.go
@@ -35,7 +35,7 @@
 	// which gets no replies would keep its lease alive without daring to act under it, and no other
 	// node could take over.
 	if n.renewalUnanswered && !n.LeaseValid() {
-		n.store.Get(statestore.Lease, limits.StoreTimeout, keyLeader, func(reply statestore.Reply) {
+		n.store.Get(statestore.PriorityLease, limits.StoreTimeout, keyLeader, func(reply statestore.Reply) {
 			n.leaseRequested = false
 			if reply.Status == statestore.OK || reply.Status == statestore.NotFound {
 				n.renewalUnanswered, n.nextRenewal = false, 0
@@ -73,7 +73,7 @@
 // endLease ends a lease of an earlier incarnation of this node. If that fails, it retries as long as
 // the mirror shows a record under the lease.
 func (n *Node) endLease(lease uint64) {
-	n.store.EndLease(lease, func(reply statestore.Reply) {
+	n.store.RevokeLease(lease, func(reply statestore.Reply) {
 		if reply.Status != statestore.OK && reply.Status != statestore.NotFound && reply.Status != 204 {
 			delete(n.endingLeases, lease)
 			for _, records := range []map[string]versionedRecord{n.nodes, n.holders, {"": n.leader}} {
--- a/internal/ownership/mapping.go
+++ b/internal/ownership/mapping.go
@@ -111,7 +111,7 @@
 		if _, held := n.holders[class]; held || mapped.Node != n.Name || !n.earlierGrantsEnded(class) || n.now < n.grantedUntil {
 			continue
 		}
-		if len(txn.Then)+2 > n.store.TxnOps {
+		if len(txn.Then)+2 > n.store.MaxTxnOps {
 			break
 		}
 		key := keyOwner + keySegment(class)
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -223,7 +223,7 @@
 	if n.LeaseValid() {
 		return min(n.leaseEnd, staleAt)
 	}
-	deadline := min(n.now+limits.ExtensionLife, staleAt)
+	deadline := min(n.now+limits.ExtensionTTL, staleAt)
 	for _, peer := range n.peers {
 		deadline = min(deadline, n.extensions[peer]-limits.LeaseMargin)
 	}
@@ -365,8 +365,8 @@
 	if n.now < n.retryAt[key] {
 		return
 	}
-	n.retryAt[key] = n.now + limits.RetryClaim
-	n.store.Txn(statestore.Lease, limits.StoreTimeout, txn, func(reply statestore.Reply) {
+	n.retryAt[key] = n.now + limits.ClaimRetryInterval
+	n.store.Txn(statestore.PriorityLease, limits.StoreTimeout, txn, func(reply statestore.Reply) {
 		// The mirror shows the outcome. A refused transaction was not executed, so it may be
 		// retried after the shorter backoff.
 		if reply.Refused() {
--- a/internal/reachability/damper.go
+++ b/internal/reachability/damper.go
@@ -5,48 +5,49 @@
 	"time"
 )
 
-// damper holds back a link that comes and goes, as RFC 2439 does for routes: each failure adds a
-// penalty, which fades with a half-life. Above one threshold the link is suppressed, and it stays
-// so until the penalty has faded below a lower one. The penalty has a ceiling, so that a link is
-// back within a known time after its last failure.
+// damper suppresses a flapping link, as RFC 2439 does for routes: each failure adds a penalty, which
+// decays with a half-life. At an upper threshold the link is suppressed, and it stays so until the
+// penalty has decayed below a lower one. The penalty has a maximum, which bounds the time from the
+// last failure until the link is used again.
 type damper struct {
 	settings   DamperSettings
 	penalty    float64
-	at         time.Duration // when penalty was reckoned
+	updatedAt  time.Duration // when the decay was last applied
 	suppressed bool
 }
 
-// DamperSettings say how a link that comes and goes is held back.
+// DamperSettings configure how a flapping link is suppressed.
 type DamperSettings struct {
-	// HalfLife is within what time half of a penalty fades.
+	// HalfLife is the time in which a penalty decays to half.
 	HalfLife time.Duration
-	// Suppress and Reuse are the thresholds, where one failure counts as 1.
-	Suppress, Reuse float64
-	// LongestSuppression bounds for how long a link is held back after its last failure.
-	LongestSuppression time.Duration
+	// SuppressThreshold and ReuseThreshold are the upper and the lower threshold; one failure adds 1.
+	SuppressThreshold, ReuseThreshold float64
+	// MaxSuppression bounds how long a link stays suppressed after its last failure.
+	MaxSuppression time.Duration
 }
 
-// ceiling is the largest penalty: from there it fades to Reuse in LongestSuppression.
-func (s DamperSettings) ceiling() float64 {
-	return s.Reuse * math.Exp2(s.LongestSuppression.Seconds()/s.HalfLife.Seconds())
+// maxPenalty returns the largest penalty, which decays to ReuseThreshold within MaxSuppression.
+func (s DamperSettings) maxPenalty() float64 {
+	return s.ReuseThreshold * math.Exp2(s.MaxSuppression.Seconds()/s.HalfLife.Seconds())
 }
 
-// fade lets the penalty fade until now, and the link be used again once it has.
-func (d *damper) fade(now time.Duration) {
-	if now > d.at {
-		d.penalty *= math.Exp2(-(now - d.at).Seconds() / d.settings.HalfLife.Seconds())
-		d.at = now
+// decay applies the decay of the penalty up to now, and ends the suppression once the penalty is below
+// the lower threshold.
+func (d *damper) decay(now time.Duration) {
+	if now > d.updatedAt {
+		d.penalty *= math.Exp2(-(now - d.updatedAt).Seconds() / d.settings.HalfLife.Seconds())
+		d.updatedAt = now
 	}
-	if d.suppressed && d.penalty < d.settings.Reuse {
+	if d.suppressed && d.penalty < d.settings.ReuseThreshold {
 		d.suppressed = false
 	}
 }
 
-// failed records one more failure.
-func (d *damper) failed(now time.Duration) {
-	d.fade(now)
-	d.penalty = min(d.penalty+1, max(d.settings.ceiling(), 1))
-	if d.penalty >= d.settings.Suppress {
+// recordFailure adds the penalty of one failure.
+func (d *damper) recordFailure(now time.Duration) {
+	d.decay(now)
+	d.penalty = min(d.penalty+1, max(d.settings.maxPenalty(), 1))
+	if d.penalty >= d.settings.SuppressThreshold {
 		d.suppressed = true
 	}
 }
--- a/internal/reachability/detector.go
+++ b/internal/reachability/detector.go
@@ -4,258 +4,264 @@
 	"time"
 )
 
-// detector judges one link from what is sent and heard on it.
+// detector determines the state of one link from what is sent and received on it.
 type detector struct {
 	link     Link
 	settings *Settings
 	damper   damper
 
-	// expected is the gap between arrivals before any was measured; 0: nothing is expected to
-	// arrive on its own.
-	expected time.Duration
-	// waits is for how long an answer may be held back on purpose, as a watch is.
-	waits time.Duration
-	// irregular: no silence of arrivals says anything.
+	// expectedGap is the gap between unsolicited messages until enough gaps are measured; 0: no
+	// unsolicited messages are expected.
+	expectedGap time.Duration
+	// maxHold is how long the other side may delay an answer on purpose, as it does for a watch.
+	maxHold time.Duration
+	// irregular: messages arrive at no regular interval, so a gap is no sign of a failure.
 	irregular bool
-	// suspended: nothing is expected at present, and only the damper goes on.
+	// suspended: nothing is expected on the link at present, and only its damper is updated.
 	suspended bool
 
-	gaps, latencies *sketch
-	longGaps        int // gaps in a row that were too long to be learned
+	gaps, latencies     *sketch
+	consecutiveLongGaps int // consecutive gaps that were long enough to count as down
 
-	lastHeard   time.Duration // when something arrived on its own; 0: never
-	lastAnswer  time.Duration // when an answer of any kind arrived; 0: never
-	lastServed  time.Duration // when the newest request that was served had left; 0: none
-	lastRefused time.Duration // when the newest request that was refused had left; 0: none
-	firstLost   time.Duration // when the first of the losses in a row had left; 0: none
-	lostInRow   int
-	outstanding map[uint64]time.Duration // requests without an answer, and when they left
+	lastMessageAt     time.Duration // when the last unsolicited message arrived; 0: never
+	lastAnswerAt      time.Duration // when the last answer of any kind arrived; 0: never
+	lastServedSentAt  time.Duration // when the newest request that was served was sent; 0: none
+	lastRefusedSentAt time.Duration // when the newest request that was refused was sent; 0: none
+	firstLostSentAt   time.Duration // when the oldest of the consecutive lost requests was sent; 0: none
+	consecutiveLosses int
+	outstanding       map[uint64]time.Duration // when each request without an answer was sent, by request ID
 
-	state   State
-	since   time.Duration
-	changes int
+	state      State
+	stateSince time.Duration
+	failures   int
 }
 
 func newDetector(link Link, settings *Settings, now time.Duration) *detector {
-	return &detector{link: link, settings: settings, damper: damper{settings: settings.Damper, at: now},
-		gaps: newSketch(settings.Quantile), latencies: newSketch(settings.Quantile), outstanding: map[uint64]time.Duration{}, state: Unknown, since: now}
+	return &detector{link: link, settings: settings, damper: damper{settings: settings.Damper, updatedAt: now},
+		gaps: newSketch(settings.Quantile), latencies: newSketch(settings.Quantile), outstanding: map[uint64]time.Duration{}, state: Unknown, stateSince: now}
 }
 
 // sent records a request.
 func (d *detector) sent(id uint64, now time.Duration) { d.outstanding[id] = now }
 
-// answered records an answer; refused tells that the other side would not serve the request.
+// answered records an answer; refused means that the other side rejected the request.
 func (d *detector) answered(id uint64, now time.Duration, refused bool) {
-	left, ok := d.outstanding[id]
+	sentAt, ok := d.outstanding[id]
 	if !ok {
 		return
 	}
 	delete(d.outstanding, id)
-	d.latencies.record(max(0, now-left-d.waits))
-	d.lastAnswer = now
+	d.latencies.record(max(0, now-sentAt-d.maxHold))
+	d.lastAnswerAt = now
 	if refused {
-		d.lastRefused = max(d.lastRefused, left)
+		d.lastRefusedSentAt = max(d.lastRefusedSentAt, sentAt)
 	} else {
-		d.lastServed = max(d.lastServed, left)
+		d.lastServedSentAt = max(d.lastServedSentAt, sentAt)
 	}
-	// An answer to a request of before the losses proves nothing about the time since.
-	if left >= d.firstLost {
-		d.firstLost, d.lostInRow = 0, 0
+	// An answer to a request that was sent before the losses does not show that the link works
+	// again.
+	if sentAt >= d.firstLostSentAt {
+		d.firstLostSentAt, d.consecutiveLosses = 0, 0
 	}
 }
 
-// lost records that a request got no answer in its time.
+// lost records that a request got no answer before its timeout.
 func (d *detector) lost(id uint64) {
-	left, ok := d.outstanding[id]
+	sentAt, ok := d.outstanding[id]
 	if !ok {
 		return
 	}
 	delete(d.outstanding, id)
-	if left < max(d.lastServed, d.lastRefused) {
-		return // one that left later was answered
+	if sentAt < max(d.lastServedSentAt, d.lastRefusedSentAt) {
+		return // a request that was sent later has been answered
 	}
-	d.lostInRow++
-	if d.firstLost == 0 || left < d.firstLost {
-		d.firstLost = left
+	d.consecutiveLosses++
+	if d.firstLostSentAt == 0 || sentAt < d.firstLostSentAt {
+		d.firstLostSentAt = sentAt
 	}
 }
 
-// heard records a message that arrived on its own.
-func (d *detector) heard(now time.Duration) {
-	if d.lastHeard > 0 && now >= d.lastHeard && !d.irregular {
-		d.learnGap(now - d.lastHeard)
+// received records an unsolicited message.
+func (d *detector) received(now time.Duration) {
+	if d.lastMessageAt > 0 && now >= d.lastMessageAt && !d.irregular {
+		d.recordGap(now - d.lastMessageAt)
 	}
-	d.lastHeard = max(d.lastHeard, now)
+	d.lastMessageAt = max(d.lastMessageAt, now)
 }
 
-// paceChanged is after how many long gaps in a row the link has a new pace.
-const paceChanged = 3
+// acceptLongGapsAfter is the number of consecutive long gaps after which they count as the new
+// interval between messages.
+const acceptLongGapsAfter = 3
 
-// learnGap records a gap between arrivals. One that was long enough to take the link for down is
-// no measure of its pace, unless several follow each other: guards against a flapping link
-// whose cuts became its usual gaps, so that they were noticed no more.
-func (d *detector) learnGap(gap time.Duration) {
+// recordGap records a gap between messages. A gap that is long enough to count as down is ignored
+// until acceptLongGapsAfter of them follow each other. Otherwise the outages of a flapping link
+// become its usual gaps and are no longer detected.
+func (d *detector) recordGap(gap time.Duration) {
 	overdue := d.overdueGap()
-	if overdue > 0 && d.judgeSilence(gap, overdue) == halfDead {
-		d.longGaps++
-		if d.longGaps < paceChanged {
+	if overdue > 0 && d.classifySilence(gap, overdue) == directionDown {
+		d.consecutiveLongGaps++
+		if d.consecutiveLongGaps < acceptLongGapsAfter {
 			return
 		}
 	} else {
-		d.longGaps = 0
+		d.consecutiveLongGaps = 0
 	}
 	d.gaps.record(gap)
 }
 
-// shift takes a standstill of this process out of account: nobody's silence counts meanwhile.
-func (d *detector) shift(by time.Duration) {
-	for _, at := range []*time.Duration{&d.lastHeard, &d.lastAnswer, &d.firstLost} {
+// excludePause moves all recorded times forward by the length of a pause of this process, so that
+// the pause does not count as silence of the other side.
+func (d *detector) excludePause(pause time.Duration) {
+	for _, at := range []*time.Duration{&d.lastMessageAt, &d.lastAnswerAt, &d.firstLostSentAt} {
 		if *at > 0 {
-			*at += by
+			*at += pause
 		}
 	}
 	for id := range d.outstanding {
-		d.outstanding[id] += by
+		d.outstanding[id] += pause
 	}
 }
 
-// overdueGap is the silence of arrivals from which on the link is suspect; 0: no silence is.
+// overdueGap returns the time without messages after which the link is suspect, or 0 if no messages
+// are expected.
 func (d *detector) overdueGap() time.Duration {
-	if measured := d.gaps.usual; measured > 0 {
-		return time.Duration(float64(measured)*d.settings.SuspectFactor) + d.settings.Floor
+	if usualMax := d.gaps.usualMax; usualMax > 0 {
+		return time.Duration(float64(usualMax)*d.settings.SuspectFactor) + d.settings.Slack
 	}
-	return time.Duration(float64(d.expected) * d.settings.SuspectFactor)
+	return time.Duration(float64(d.expectedGap) * d.settings.SuspectFactor)
 }
 
-// overdueAnswer is the age of an unanswered request from which on the link is suspect.
+// overdueAnswer returns the age of an unanswered request from which on the link is suspect.
 func (d *detector) overdueAnswer() time.Duration {
-	usual := d.settings.GuessedLatency
-	if measured := d.latencies.usual; measured > 0 {
-		usual = measured
+	latency := d.settings.InitialLatency
+	if usualMax := d.latencies.usualMax; usualMax > 0 {
+		latency = usualMax
 	}
-	return d.waits + time.Duration(float64(usual)*d.settings.SuspectFactor) + d.settings.Floor
+	return d.maxHold + time.Duration(float64(latency)*d.settings.SuspectFactor) + d.settings.Slack
 }
 
-// silence is for how long arrivals have been missing, if any are expected.
-func (d *detector) silence(now time.Duration) time.Duration {
-	if d.lastHeard == 0 || d.overdueGap() == 0 {
+// silentFor returns the time since the last unsolicited message, or 0 if none has arrived yet or none
+// is expected.
+func (d *detector) silentFor(now time.Duration) time.Duration {
+	if d.lastMessageAt == 0 || d.overdueGap() == 0 {
 		return 0
 	}
-	return now - d.lastHeard
+	return now - d.lastMessageAt
 }
 
-// unanswered is for how long requests have had no answer.
-func (d *detector) unanswered(now time.Duration) time.Duration {
+// unansweredFor returns the age of the oldest request that is outstanding or counts as lost, or 0.
+func (d *detector) unansweredFor(now time.Duration) time.Duration {
 	oldest := now
-	if d.firstLost > 0 {
-		oldest = d.firstLost
+	if d.firstLostSentAt > 0 {
+		oldest = d.firstLostSentAt
 	}
-	for _, left := range d.outstanding {
-		// One that is slow while later ones are answered is no silence of the link.
-		if left > max(d.lastServed, d.lastRefused) {
-			oldest = min(oldest, left)
+	for _, sentAt := range d.outstanding {
+		// A slow request does not count if a request that was sent later has been answered.
+		if sentAt > max(d.lastServedSentAt, d.lastRefusedSentAt) {
+			oldest = min(oldest, sentAt)
 		}
 	}
 	return now - oldest
 }
 
-// half is what is known of one direction.
-type half int
+// directionState is the state of one direction of a link.
+type directionState int
 
 const (
-	halfUnknown half = iota
-	halfGood
-	halfOverdue
-	halfDead
+	directionUnknown directionState = iota
+	directionGood
+	directionOverdue
+	directionDown
 )
 
-// judgeSilence judges a silence against the one from which on it is suspect.
-func (d *detector) judgeSilence(silence, overdue time.Duration) half {
+// classifySilence compares a silence with the one after which the link is suspect.
+func (d *detector) classifySilence(silence, overdue time.Duration) directionState {
 	switch {
 	case silence <= overdue:
-		return halfGood
+		return directionGood
 	case silence <= time.Duration(float64(overdue)*d.settings.DownFactor):
-		return halfOverdue
+		return directionOverdue
 	}
-	return halfDead
+	return directionDown
 }
 
-// arrivals judges what reaches this controller on its own.
-func (d *detector) arrivals(now time.Duration) half {
-	if d.irregular && d.lastHeard > 0 {
-		return halfGood
+// inboundState returns the state of the direction to this controller, from unsolicited messages.
+func (d *detector) inboundState(now time.Duration) directionState {
+	if d.irregular && d.lastMessageAt > 0 {
+		return directionGood
 	}
-	if d.lastHeard == 0 || d.overdueGap() == 0 {
-		return halfUnknown
+	if d.lastMessageAt == 0 || d.overdueGap() == 0 {
+		return directionUnknown
 	}
-	return d.judgeSilence(d.silence(now), d.overdueGap())
+	return d.classifySilence(d.silentFor(now), d.overdueGap())
 }
 
-// answers judges whether this controller's requests are answered.
-func (d *detector) answers(now time.Duration) half {
-	if d.lastAnswer == 0 && d.lostInRow == 0 {
-		return halfUnknown
+// outboundState returns the state of the direction from this controller, from the answers to its
+// requests.
+func (d *detector) outboundState(now time.Duration) directionState {
+	if d.lastAnswerAt == 0 && d.consecutiveLosses == 0 {
+		return directionUnknown
 	}
-	judged := d.judgeSilence(d.unanswered(now), d.overdueAnswer())
-	if judged == halfDead && d.lostInRow < d.settings.LossesForDown {
-		return halfOverdue
+	state := d.classifySilence(d.unansweredFor(now), d.overdueAnswer())
+	if state == directionDown && d.consecutiveLosses < d.settings.LossesForDown {
+		return directionOverdue
 	}
-	return judged
+	return state
 }
 
-// judge returns the state of the link now.
-func (d *detector) judge(now time.Duration) State {
-	in, out := d.arrivals(now), d.answers(now)
+// evaluate returns the state of the link now.
+func (d *detector) evaluate(now time.Duration) State {
+	inbound, outbound := d.inboundState(now), d.outboundState(now)
 	switch {
 	case d.suspended:
 		return Unknown
-	case in == halfUnknown && out == halfUnknown:
+	case inbound == directionUnknown && outbound == directionUnknown:
 		return Unknown
-	case out == halfDead && in == halfGood:
+	case outbound == directionDown && inbound == directionGood:
 		return HeardOnly
-	case in == halfDead && out == halfGood:
+	case inbound == directionDown && outbound == directionGood:
 		return AnsweredOnly
-	case out == halfDead || in == halfDead:
+	case outbound == directionDown || inbound == directionDown:
 		return Down
-	case d.lastRefused > d.lastServed && d.lastRefused > 0:
+	case d.lastRefusedSentAt > d.lastServedSentAt && d.lastRefusedSentAt > 0:
 		return Refused
-	case in == halfOverdue || out == halfOverdue:
+	case inbound == directionOverdue || outbound == directionOverdue:
 		return Suspect
 	}
 	return Up
 }
 
-// update takes the link's state anew and tells whether it has changed.
+// update evaluates the link's state and reports whether the state or the suppression has changed.
 func (d *detector) update(now time.Duration) (Change, bool) {
-	was, wasSuppressed := d.state, d.damper.suppressed
-	d.damper.fade(now)
-	d.state = d.judge(now)
-	if was.Works() && !d.state.Works() && d.state != Unknown {
-		d.changes++
-		d.damper.failed(now)
+	previous, wasSuppressed := d.state, d.damper.suppressed
+	d.damper.decay(now)
+	d.state = d.evaluate(now)
+	if previous.Works() && !d.state.Works() && d.state != Unknown {
+		d.failures++
+		d.damper.recordFailure(now)
 	}
-	if d.state == was && d.damper.suppressed == wasSuppressed {
+	if d.state == previous && d.damper.suppressed == wasSuppressed {
 		return Change{}, false
 	}
-	if d.state != was {
-		d.since = now
+	if d.state != previous {
+		d.stateSince = now
 	}
-	change := Change{Link: d.link, From: was, To: d.state, Suppressed: d.damper.suppressed}
+	change := Change{Link: d.link, From: previous, To: d.state, Suppressed: d.damper.suppressed}
 	if !d.state.Works() {
-		change.After = max(d.silence(now), d.unanswered(now))
+		change.SilentFor = max(d.silentFor(now), d.unansweredFor(now))
 	}
 	return change, true
 }
 
-// status tells what is known of the link now.
+// status returns the status of the link now.
 func (d *detector) status(now time.Duration) Status {
-	s := Status{Link: d.link, State: d.state, Since: now - d.since, Suppressed: d.damper.suppressed, Penalty: d.damper.penalty, Changes: d.changes}
-	s.LatencyP50, _ = d.latencies.quantile(0.5)
-	s.LatencyP99, _ = d.latencies.quantile(0.99)
-	s.GapP99, _ = d.gaps.quantile(0.99)
-	s.OverdueAfter = d.overdueGap()
-	if s.OverdueAfter == 0 {
-		s.OverdueAfter = d.overdueAnswer()
+	status := Status{Link: d.link, State: d.state, Since: now - d.stateSince, Suppressed: d.damper.suppressed, Penalty: d.damper.penalty, Changes: d.failures}
+	status.LatencyP50, _ = d.latencies.quantile(0.5)
+	status.LatencyP99, _ = d.latencies.quantile(0.99)
+	status.GapP99, _ = d.gaps.quantile(0.99)
+	status.OverdueAfter = d.overdueGap()
+	if status.OverdueAfter == 0 {
+		status.OverdueAfter = d.overdueAnswer()
 	}
-	return s
+	return status
 }
--- a/internal/reachability/link.go
+++ b/internal/reachability/link.go
@@ -1,12 +1,12 @@
-// Package reachability keeps one view of the links of a controller: which of the state service,
-// its peers, its workers, the cloud and its users it reaches, and which of them reach it.
+// Package reachability monitors the links of a controller to the state service, its peers, its
+// workers, the cloud and its users. It judges the two directions of a link separately.
 //
-// It is a pure state machine: the caller tells what was sent, answered, lost and heard, and when;
-// out come the states of links, their changes, and a view that controllers exchange. How long a
-// silence may be is learned from the gaps and latencies of each link. A link that comes and goes
-// is suppressed for a while (see damper).
+// It is a state machine without I/O: the caller records what was sent, answered, lost and received,
+// and when. A Monitor returns the states of the links, their changes, and a View that controllers
+// exchange. How long a silence is normal is measured from the gaps and latencies of each link. A
+// flapping link is suppressed for a while (see damper).
 //
-// The package judges links only. It decides nothing about leases, terms or tasks.
+// The package only judges links. It decides nothing about leases, terms or tasks.
 package reachability
 
 import (
@@ -14,11 +14,11 @@
 	"time"
 )
 
-// Kind is what is at the other end of a link.
+// Kind is the kind of service or client at the other end of a link.
 type Kind string
 
-// Kinds of links. Requests, writes and watches of the state service are apart, since they fail
-// apart: a watch waits on purpose, and writes alone are bounded by a budget.
+// Kinds of links. Requests, writes and watches of the state service are separate kinds because they
+// fail separately: the server holds a watch open on purpose, and only writes are limited by a budget.
 const (
 	StateRequests Kind = "state-requests"
 	StateWrites   Kind = "state-writes"
@@ -29,8 +29,8 @@
 	Users         Kind = "users"
 )
 
-// Link names one link of a controller. Name tells links of a kind apart: a peer's name, or a
-// machine class and zone.
+// Link identifies one link of a controller. Name distinguishes the links of a kind: it is a peer's
+// name, or a machine class and zone.
 type Link struct {
 	Kind Kind
 	Name string
@@ -43,64 +43,65 @@
 	return string(l.Kind) + " " + l.Name
 }
 
-// Compare orders links.
+// Compare orders links by kind, then by name.
 func (l Link) Compare(other Link) int {
 	return cmp.Or(cmp.Compare(l.Kind, other.Kind), cmp.Compare(l.Name, other.Name))
 }
 
-// State is what is known of a link.
+// State is the state of a link as the controller sees it.
 type State string
 
 // States of a link.
 const (
-	// Unknown: nothing has been heard on it yet.
+	// Unknown: nothing has been received on the link yet, or nothing is expected on it now.
 	Unknown State = "unknown"
-	// Up: what is expected arrives, and requests are answered.
+	// Up: expected messages arrive, and requests are answered.
 	Up State = "up"
-	// Suspect: something is overdue by what was measured.
+	// Suspect: a message or an answer is later than the measured gaps or latencies allow.
 	Suspect State = "suspect"
-	// HeardOnly: the other side's messages arrive, but requests to it are not answered.
+	// HeardOnly: messages of the other side arrive, but requests to it are not answered.
 	HeardOnly State = "heard-only"
-	// AnsweredOnly: requests are answered, but messages that are expected do not arrive.
+	// AnsweredOnly: requests are answered, but expected messages do not arrive.
 	AnsweredOnly State = "answered-only"
-	// Refused: requests are answered, and refused.
+	// Refused: requests are answered with a refusal.
 	Refused State = "refused"
-	// Down: nothing arrives.
+	// Down: no expected message or answer arrives.
 	Down State = "down"
 )
 
-// Works tells whether a link in this state can be used both ways.
+// Works reports whether a link in this state can be used in both directions.
 func (s State) Works() bool { return s == Up || s == Suspect }
 
-// Status is what is known of a link at a time.
+// Status describes a link at one time.
 type Status struct {
 	Link  Link
 	State State
-	// Since is for how long it has been in this state.
+	// Since is how long the link has been in this state.
 	Since time.Duration
-	// Suppressed: it came and went too often, and does not count as working yet.
+	// Suppressed: the link has flapped and does not count as working yet.
 	Suppressed bool
-	// Penalty is what its changes have added up to; see damper.
+	// Penalty is the sum of penalties for its failures after decay; see damper.
 	Penalty float64
-	// Changes counts how often it stopped working.
+	// Changes counts how often the link stopped working.
 	Changes int
-	// LatencyP50 and LatencyP99 are those of answers, GapP99 that of arrivals; 0: not measured.
+	// LatencyP50 and LatencyP99 are quantiles of the time until an answer, GapP99 of the time
+	// between messages; 0: too few samples.
 	LatencyP50, LatencyP99, GapP99 time.Duration
-	// OverdueAfter is the silence from which on the link is suspect now.
+	// OverdueAfter is the length of silence after which the link becomes suspect.
 	OverdueAfter time.Duration
 }
 
-// Works tells whether the link works and is not suppressed.
+// Works reports whether the link works and is not suppressed.
 func (s Status) Works() bool { return s.State.Works() && !s.Suppressed }
 
-// Change is a link that has changed its state.
+// Change is a change of the state of a link, or of its suppression.
 type Change struct {
 	Link Link
 	From State
 	To   State
-	// After is how long the silence or the failure had lasted when it was noticed; 0: it
-	// works again.
-	After time.Duration
-	// Suppressed tells whether the damper holds the link back from now on.
+	// SilentFor is how long the silence or the failure had lasted when it was detected; 0: the
+	// link works again.
+	SilentFor time.Duration
+	// Suppressed reports whether the damper suppresses the link from now on.
 	Suppressed bool
 }
--- a/internal/reachability/monitor.go
+++ b/internal/reachability/monitor.go
@@ -5,146 +5,149 @@
 	"time"
 )
 
-// Settings say how links are judged.
+// Settings configure how links are judged.
 type Settings struct {
-	// Quantile of the measured gaps and latencies that counts as the usual most.
+	// Quantile is the quantile of the measured gaps and latencies that is taken as their usual maximum.
 	Quantile float64
-	// SuspectFactor times that, and Floor on top, is when a link becomes suspect; DownFactor
-	// times that again when it is down.
+	// A link becomes suspect after SuspectFactor times the usual maximum plus Slack, and down after
+	// DownFactor times this sum.
 	SuspectFactor, DownFactor float64
-	// Floor covers timer steps and a busy processor.
-	Floor time.Duration
-	// LossesForDown is how many requests in a row must be lost before a link is down.
+	// Slack covers the resolution of timers and delays of a busy processor.
+	Slack time.Duration
+	// LossesForDown is how many consecutive requests must be lost before a link is down.
 	LossesForDown int
-	// GuessedLatency stands for the latency until enough was measured.
-	GuessedLatency time.Duration
-	// Damper holds back links that come and go.
+	// InitialLatency is used as the usual maximum latency until enough latencies are measured.
+	InitialLatency time.Duration
+	// Damper configures the suppression of flapping links.
 	Damper DamperSettings
-	// RotateEvery is how often the oldest third of what was measured is forgotten, and
-	// RefreshEvery how often the quantiles are reckoned anew.
-	RotateEvery, RefreshEvery time.Duration
+	// RotateInterval is how often the oldest third of the measurements is dropped, and
+	// RefreshInterval how often the quantiles are recomputed.
+	RotateInterval, RefreshInterval time.Duration
 }
 
-// Monitor holds the links of one controller.
+// Monitor keeps track of the links of one controller.
 type Monitor struct {
-	settings    Settings
-	links       map[Link]*detector
-	sorted      []*detector
-	now         time.Duration
-	nextRotate  time.Duration
-	nextRefresh time.Duration
-	viewNumber  uint64
+	settings        Settings
+	detectors       map[Link]*detector
+	sortedDetectors []*detector
+	now             time.Duration
+	nextRotate      time.Duration
+	nextRefresh     time.Duration
+	viewNumber      uint64
 }
 
-// NewMonitor makes a monitor without links.
+// NewMonitor returns a Monitor without links.
 func NewMonitor(settings Settings, now time.Duration) *Monitor {
-	return &Monitor{settings: settings, links: map[Link]*detector{}, now: now, nextRotate: now + settings.RotateEvery, nextRefresh: now + settings.RefreshEvery}
+	return &Monitor{settings: settings, detectors: map[Link]*detector{}, now: now, nextRotate: now + settings.RotateInterval, nextRefresh: now + settings.RefreshInterval}
 }
 
-// Watch adds a link, if it is not known yet. expected is the gap between messages that arrive on
-// their own (0: none are expected), waits for how long its answers may be held back on purpose.
-func (m *Monitor) Watch(link Link, expected, waits time.Duration) {
+// Watch adds a link if it is missing, updates its parameters, and ends its suspension. expectedGap is
+// the gap between unsolicited messages (0: none are expected), and maxHold is how long the other side
+// may delay its answers on purpose.
+func (m *Monitor) Watch(link Link, expectedGap, maxHold time.Duration) {
 	d := m.detector(link)
-	d.expected, d.waits, d.suspended = expected, waits, false
+	d.expectedGap, d.maxHold, d.suspended = expectedGap, maxHold, false
 }
 
-// WatchIrregular adds a link on which messages arrive as they like: it is up once one has.
+// WatchIrregular adds a link on which messages arrive at no regular interval. Once a message has
+// arrived, no gap between messages makes the link suspect.
 func (m *Monitor) WatchIrregular(link Link) { m.detector(link).irregular = true }
 
-// Suspend stops judging a link on which nothing is expected at present; Watch goes on. Its damper
-// keeps what it knows.
+// Suspend stops judging a link on which nothing is expected at present, until the next call of Watch.
+// The link keeps the penalty of its damper.
 func (m *Monitor) Suspend(link Link) {
-	if d := m.links[link]; d != nil {
-		d.suspended, d.lastHeard = true, 0
+	if d := m.detectors[link]; d != nil {
+		d.suspended, d.lastMessageAt = true, 0
 	}
 }
 
+// detector returns the detector of a link and adds it if it is missing.
 func (m *Monitor) detector(link Link) *detector {
-	d := m.links[link]
+	d := m.detectors[link]
 	if d == nil {
 		d = newDetector(link, &m.settings, m.now)
-		m.links[link] = d
-		at, _ := slices.BinarySearchFunc(m.sorted, link, func(d *detector, l Link) int { return d.link.Compare(l) })
-		m.sorted = slices.Insert(m.sorted, at, d)
+		m.detectors[link] = d
+		at, _ := slices.BinarySearchFunc(m.sortedDetectors, link, func(d *detector, l Link) int { return d.link.Compare(l) })
+		m.sortedDetectors = slices.Insert(m.sortedDetectors, at, d)
 	}
 	return d
 }
 
-// Sent records a request over a link. Numbers are the caller's, unique for the link.
+// Sent records a request over a link. The caller chooses id, which must be unique for the link.
 func (m *Monitor) Sent(link Link, id uint64, now time.Duration) {
 	m.advance(now)
 	m.detector(link).sent(id, now)
 }
 
-// Answered records the answer to a request; refused: the other side would not serve it.
+// Answered records the answer to a request; refused means that the other side rejected the request.
 func (m *Monitor) Answered(link Link, id uint64, now time.Duration, refused bool) {
 	m.advance(now)
 	m.detector(link).answered(id, now, refused)
 }
 
-// Lost records that a request got no answer in its time.
+// Lost records that a request got no answer before its timeout.
 func (m *Monitor) Lost(link Link, id uint64, now time.Duration) {
 	m.advance(now)
 	m.detector(link).lost(id)
 }
 
-// Heard records a message that arrived on its own.
-func (m *Monitor) Heard(link Link, now time.Duration) {
+// Received records an unsolicited message.
+func (m *Monitor) Received(link Link, now time.Duration) {
 	m.advance(now)
-	m.detector(link).heard(now)
+	m.detector(link).received(now)
 }
 
-// StoodStill takes a standstill of this process out of account: what came meanwhile waits to be
-// read, so nobody's silence counts.
-func (m *Monitor) StoodStill(by time.Duration) {
-	for _, d := range m.sorted {
-		d.shift(by)
+// ExcludePause excludes a pause of this process from all measured silences: messages that arrived
+// during the pause have not been read yet, so it does not show that the other side was silent.
+func (m *Monitor) ExcludePause(pause time.Duration) {
+	for _, d := range m.sortedDetectors {
+		d.excludePause(pause)
 	}
 }
 
 func (m *Monitor) advance(now time.Duration) { m.now = max(m.now, now) }
 
-// Tick judges all links and returns those that have changed, in their order.
+// Tick evaluates all links and returns their changes, sorted by link.
 func (m *Monitor) Tick(now time.Duration) []Change {
 	m.advance(now)
 	if m.now >= m.nextRotate {
-		m.nextRotate = m.now + m.settings.RotateEvery
-		for _, d := range m.sorted {
+		m.nextRotate = m.now + m.settings.RotateInterval
+		for _, d := range m.sortedDetectors {
 			d.gaps.rotate()
 			d.latencies.rotate()
 		}
 	}
 	if m.now >= m.nextRefresh {
-		m.nextRefresh = m.now + m.settings.RefreshEvery
-		for _, d := range m.sorted {
+		m.nextRefresh = m.now + m.settings.RefreshInterval
+		for _, d := range m.sortedDetectors {
 			d.gaps.refresh()
 			d.latencies.refresh()
 		}
 	}
 	var changes []Change
-	for _, d := range m.sorted {
-		if c, changed := d.update(m.now); changed {
-			changes = append(changes, c)
+	for _, d := range m.sortedDetectors {
+		if change, changed := d.update(m.now); changed {
+			changes = append(changes, change)
 		}
 	}
 	return changes
 }
 
-// Status tells what is known of a link; the zero State of an unknown link is Unknown.
+// Status returns the status of a link; the State of a link that was never added is Unknown.
 func (m *Monitor) Status(link Link) Status {
-	if d := m.links[link]; d != nil {
+	if d := m.detectors[link]; d != nil {
 		return d.status(m.now)
 	}
 	return Status{Link: link, State: Unknown}
 }
 
-// View tells what is known of all links, in their order. Each view has a larger number than the
-// one before; life names this process, so that a restarted one may begin anew.
-func (m *Monitor) View(node string, life uint64) View {
+// View returns the status of all links, sorted by link. Each view has a larger number than the
+// previous one. incarnation identifies this run of the process; numbers start again with each run.
+func (m *Monitor) View(node string, incarnation uint64) View {
 	m.viewNumber++
-	v := View{Node: node, Life: life, Number: m.viewNumber}
-	for _, d := range m.sorted {
-		v.Links = append(v.Links, d.status(m.now))
+	view := View{Node: node, Life: incarnation, Number: m.viewNumber}
+	for _, d := range m.sortedDetectors {
+		view.Links = append(view.Links, d.status(m.now))
 	}
-	return v
+	return view
 }
--- a/internal/reachability/monitor_test.go
+++ b/internal/reachability/monitor_test.go
@@ -8,14 +8,14 @@
 )
 
 func testSettings() Settings {
-	return Settings{Quantile: 0.99, SuspectFactor: 1.5, DownFactor: 1.5, Floor: 250 * time.Millisecond, LossesForDown: 2, GuessedLatency: 200 * time.Millisecond,
-		Damper:      DamperSettings{HalfLife: 30 * time.Second, Suppress: 2.5, Reuse: 0.8, LongestSuppression: time.Minute},
-		RotateEvery: 20 * time.Second, RefreshEvery: time.Second}
+	return Settings{Quantile: 0.99, SuspectFactor: 1.5, DownFactor: 1.5, Slack: 250 * time.Millisecond, LossesForDown: 2, InitialLatency: 200 * time.Millisecond,
+		Damper:         DamperSettings{HalfLife: 30 * time.Second, SuppressThreshold: 2.5, ReuseThreshold: 0.8, MaxSuppression: time.Minute},
+		RotateInterval: 20 * time.Second, RefreshInterval: time.Second}
 }
 
-// linkPlayer plays a link: a request and a message of the other side at their intervals, each
-// carried while its direction is open.
-type linkPlayer struct {
+// simulatedLink simulates a link. Requests and unsolicited messages of the other side are sent at
+// intervals, and arrive while their direction is open.
+type simulatedLink struct {
 	t       *testing.T
 	rng     *rand.Rand
 	monitor *Monitor
@@ -23,157 +23,161 @@
 	now     time.Duration
 	nextID  uint64
 	pending []pendingReply
-	// there and back tell whether each direction carries; refusing: requests are refused.
-	there, back, refusing bool
-	// gap and latency draw the time to the next message and the time of an answer.
-	gap, latency func() time.Duration
-	nextRequest  time.Duration
-	nextMessage  time.Duration
-	changes      []Change
-	changedAt    []time.Duration
+	// outboundOpen and inboundOpen state whether each direction works; refusing: requests are
+	// answered with a refusal.
+	outboundOpen, inboundOpen, refusing bool
+	// drawGap and drawLatency return a random time to the next message and until an answer.
+	drawGap, drawLatency func() time.Duration
+	nextRequest          time.Duration
+	nextMessage          time.Duration
+	changes              []Change
+	changedAt            []time.Duration
 }
 
 type pendingReply struct {
-	id   uint64
-	at   time.Duration
-	lost bool
+	id    uint64
+	dueAt time.Duration
+	lost  bool
 }
 
 const (
-	playStep       = 10 * time.Millisecond
-	requestEvery   = 500 * time.Millisecond
-	requestTimeout = 1500 * time.Millisecond
+	simulationStep  = 10 * time.Millisecond
+	requestInterval = 500 * time.Millisecond
+	requestTimeout  = 1500 * time.Millisecond
 )
 
-func newLinkPlayer(t *testing.T, seed uint64) *linkPlayer {
-	p := &linkPlayer{t: t, rng: rand.New(rand.NewPCG(seed, 3)), monitor: NewMonitor(testSettings(), 0), link: Link{Kind: Peer, Name: "b"}, there: true, back: true}
-	p.gap = func() time.Duration { return p.around(time.Second, 0.25) }
-	p.latency = func() time.Duration { return p.around(20*time.Millisecond, 0.5) }
-	p.monitor.Watch(p.link, time.Second, 0)
-	return p
+func newSimulatedLink(t *testing.T, seed uint64) *simulatedLink {
+	sim := &simulatedLink{t: t, rng: rand.New(rand.NewPCG(seed, 3)), monitor: NewMonitor(testSettings(), 0), link: Link{Kind: Peer, Name: "b"}, outboundOpen: true, inboundOpen: true}
+	sim.drawGap = func() time.Duration { return sim.jittered(time.Second, 0.25) }
+	sim.drawLatency = func() time.Duration { return sim.jittered(20*time.Millisecond, 0.5) }
+	sim.monitor.Watch(sim.link, time.Second, 0)
+	return sim
 }
 
-// around draws a duration within a part of a mean.
-func (p *linkPlayer) around(mean time.Duration, part float64) time.Duration {
-	return time.Duration(float64(mean) * (1 - part + 2*part*p.rng.Float64()))
+// jittered returns a random duration that differs from mean by at most the fraction spread.
+func (sim *simulatedLink) jittered(mean time.Duration, spread float64) time.Duration {
+	return time.Duration(float64(mean) * (1 - spread + 2*spread*sim.rng.Float64()))
 }
 
-// play lets time pass.
-func (p *linkPlayer) play(d time.Duration) {
-	for end := p.now + d; p.now < end; {
-		p.now += playStep
-		p.exchange()
-		for _, c := range p.monitor.Tick(p.now) {
-			p.changes = append(p.changes, c)
-			p.changedAt = append(p.changedAt, p.now)
+// run advances the simulation by d and records the changes of the link.
+func (sim *simulatedLink) run(d time.Duration) {
+	for end := sim.now + d; sim.now < end; {
+		sim.now += simulationStep
+		sim.exchange()
+		for _, change := range sim.monitor.Tick(sim.now) {
+			sim.changes = append(sim.changes, change)
+			sim.changedAt = append(sim.changedAt, sim.now)
 		}
 	}
 }
 
-func (p *linkPlayer) exchange() {
-	if p.now >= p.nextMessage {
-		p.nextMessage = p.now + p.gap()
-		if p.back {
-			p.monitor.Heard(p.link, p.now)
+// exchange sends what is due, and delivers due messages and replies to the monitor.
+func (sim *simulatedLink) exchange() {
+	if sim.now >= sim.nextMessage {
+		sim.nextMessage = sim.now + sim.drawGap()
+		if sim.inboundOpen {
+			sim.monitor.Received(sim.link, sim.now)
 		}
 	}
-	if p.now >= p.nextRequest {
-		p.nextRequest = p.now + requestEvery
-		p.nextID++
-		p.monitor.Sent(p.link, p.nextID, p.now)
-		r := pendingReply{id: p.nextID, at: p.now + p.latency()}
-		if !p.there || !p.back {
-			r = pendingReply{id: p.nextID, at: p.now + requestTimeout, lost: true}
+	if sim.now >= sim.nextRequest {
+		sim.nextRequest = sim.now + requestInterval
+		sim.nextID++
+		sim.monitor.Sent(sim.link, sim.nextID, sim.now)
+		reply := pendingReply{id: sim.nextID, dueAt: sim.now + sim.drawLatency()}
+		if !sim.outboundOpen || !sim.inboundOpen {
+			reply = pendingReply{id: sim.nextID, dueAt: sim.now + requestTimeout, lost: true}
 		}
-		p.pending = append(p.pending, r)
+		sim.pending = append(sim.pending, reply)
 	}
-	kept := p.pending[:0]
-	for _, r := range p.pending {
+	remaining := sim.pending[:0]
+	for _, reply := range sim.pending {
 		switch {
-		case p.now < r.at:
-			kept = append(kept, r)
-		case r.lost:
-			p.monitor.Lost(p.link, r.id, p.now)
+		case sim.now < reply.dueAt:
+			remaining = append(remaining, reply)
+		case reply.lost:
+			sim.monitor.Lost(sim.link, reply.id, sim.now)
 		default:
-			p.monitor.Answered(p.link, r.id, p.now, p.refusing)
+			sim.monitor.Answered(sim.link, reply.id, sim.now, sim.refusing)
 		}
 	}
-	p.pending = kept
+	sim.pending = remaining
 }
 
-func (p *linkPlayer) state() State { return p.monitor.Status(p.link).State }
+func (sim *simulatedLink) state() State { return sim.monitor.Status(sim.link).State }
 
-// noticedWithin plays until the link's state is the wanted one and returns how long that took.
-func (p *linkPlayer) noticedWithin(want State, most time.Duration) time.Duration {
-	p.t.Helper()
-	for began := p.now; p.now < began+most; {
-		p.play(playStep)
-		if p.state() == want {
-			return p.now - began
+// runUntil runs until the link is in the wanted state and returns how long that took. It fails the
+// test after limit.
+func (sim *simulatedLink) runUntil(want State, limit time.Duration) time.Duration {
+	sim.t.Helper()
+	for start := sim.now; sim.now < start+limit; {
+		sim.run(simulationStep)
+		if sim.state() == want {
+			return sim.now - start
 		}
 	}
-	p.t.Fatalf("the link is %s and not %s after %v", p.state(), want, most)
+	sim.t.Fatalf("the link is %s, want %s within %v", sim.state(), want, limit)
 	return 0
 }
 
-// TestEachHalfOfALinkIsToldApart cuts each direction, and lets the other side refuse.
-func TestEachHalfOfALinkIsToldApart(t *testing.T) {
+// TestFailuresOfEachDirectionAreDistinguished closes each direction of a link, both, and makes the
+// other side refuse requests. Each failure must lead to its own state, and the link must recover.
+func TestFailuresOfEachDirectionAreDistinguished(t *testing.T) {
 	cases := []struct {
-		name                  string
-		there, back, refusing bool
-		want                  State
+		name                                string
+		outboundOpen, inboundOpen, refusing bool
+		want                                State
 	}{
-		{name: "requests do not arrive", back: true, want: HeardOnly},
-		{name: "nothing comes back", there: true, want: Down},
+		{name: "requests do not arrive", inboundOpen: true, want: HeardOnly},
+		{name: "nothing comes back", outboundOpen: true, want: Down},
 		{name: "nothing goes", want: Down},
-		{name: "refused", there: true, back: true, refusing: true, want: Refused},
+		{name: "refused", outboundOpen: true, inboundOpen: true, refusing: true, want: Refused},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			p := newLinkPlayer(t, 1)
-			p.play(40 * time.Second)
-			if p.state() != Up {
-				t.Fatalf("a quiet link is %s", p.state())
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			sim := newSimulatedLink(t, 1)
+			sim.run(40 * time.Second)
+			if sim.state() != Up {
+				t.Fatalf("the link is %s before the failure, want up", sim.state())
 			}
-			p.there, p.back, p.refusing = c.there, c.back, c.refusing
-			took := p.noticedWithin(c.want, 8*time.Second)
-			p.there, p.back, p.refusing = true, true, false
-			healed := p.noticedWithin(Up, 5*time.Second)
-			t.Logf("noticed after %v, healed after %v", took, healed)
+			sim.outboundOpen, sim.inboundOpen, sim.refusing = tc.outboundOpen, tc.inboundOpen, tc.refusing
+			detected := sim.runUntil(tc.want, 8*time.Second)
+			sim.outboundOpen, sim.inboundOpen, sim.refusing = true, true, false
+			restored := sim.runUntil(Up, 5*time.Second)
+			t.Logf("detected after %v, up again after %v", detected, restored)
 		})
 	}
 }
 
-// TestArrivalsMissing: requests are answered, but what the other side sends on its own does not
-// arrive.
-func TestArrivalsMissing(t *testing.T) {
-	p := newLinkPlayer(t, 1)
-	p.play(40 * time.Second)
-	p.gap = func() time.Duration { return time.Hour }
-	p.noticedWithin(AnsweredOnly, 10*time.Second)
+// TestMissingMessagesAreDetected checks that a link on which requests are answered, but expected
+// messages do not arrive, becomes answered-only.
+func TestMissingMessagesAreDetected(t *testing.T) {
+	sim := newSimulatedLink(t, 1)
+	sim.run(40 * time.Second)
+	sim.drawGap = func() time.Duration { return time.Hour }
+	sim.runUntil(AnsweredOnly, 10*time.Second)
 }
 
-// TestQuietLinksAreNotSuspected plays links whose pace differs, some with slow answers, for ten
-// minutes each. None may be taken for down, and hardly any change may be seen.
-func TestQuietLinksAreNotSuspected(t *testing.T) {
-	for _, mean := range []time.Duration{50 * time.Millisecond, time.Second, 6 * time.Second} {
-		for _, slow := range []float64{0, 0.04} {
-			t.Run(fmt.Sprintf("%v/%.2f", mean, slow), func(t *testing.T) {
+// TestHealthyLinksKeepWorking simulates links with different message intervals, some with occasional
+// slow answers, for ten minutes each. None may leave the working states.
+func TestHealthyLinksKeepWorking(t *testing.T) {
+	for _, interval := range []time.Duration{50 * time.Millisecond, time.Second, 6 * time.Second} {
+		for _, slowFraction := range []float64{0, 0.04} {
+			t.Run(fmt.Sprintf("%v/%.2f", interval, slowFraction), func(t *testing.T) {
 				t.Parallel()
 				for seed := uint64(1); seed <= 5; seed++ {
-					p := newLinkPlayer(t, seed)
-					p.monitor.Watch(p.link, mean, 0)
-					p.gap = func() time.Duration { return p.around(mean, 0.25) }
-					p.latency = func() time.Duration {
-						if p.rng.Float64() < slow {
-							return p.around(600*time.Millisecond, 0.5)
+					sim := newSimulatedLink(t, seed)
+					sim.monitor.Watch(sim.link, interval, 0)
+					sim.drawGap = func() time.Duration { return sim.jittered(interval, 0.25) }
+					sim.drawLatency = func() time.Duration {
+						if sim.rng.Float64() < slowFraction {
+							return sim.jittered(600*time.Millisecond, 0.5)
 						}
-						return p.around(6*time.Millisecond, 0.5)
+						return sim.jittered(6*time.Millisecond, 0.5)
 					}
-					p.play(10 * time.Minute)
-					for i, c := range p.changes {
-						if !c.To.Works() {
-							t.Errorf("seed %d: %v at %v", seed, c, p.changedAt[i])
+					sim.run(10 * time.Minute)
+					for i, change := range sim.changes {
+						if !change.To.Works() {
+							t.Errorf("seed %d: unexpected change %v at %v", seed, change, sim.changedAt[i])
 						}
 					}
 				}
@@ -182,107 +186,108 @@
 	}
 }
 
-// TestPaceIsLearned: a link that was slow becomes fast, and a cut is noticed sooner then.
-func TestPaceIsLearned(t *testing.T) {
-	noticed := func(mean time.Duration) time.Duration {
-		p := newLinkPlayer(t, 1)
-		p.monitor.Watch(p.link, mean, 0)
-		p.gap = func() time.Duration { return p.around(mean, 0.25) }
-		p.play(3 * time.Minute)
-		p.there, p.back = false, false
-		return p.noticedWithin(Down, time.Minute)
+// TestDetectionTimeFollowsMessageInterval checks that a failure is detected sooner on a link with
+// frequent messages than on one with rare messages.
+func TestDetectionTimeFollowsMessageInterval(t *testing.T) {
+	detectionTime := func(interval time.Duration) time.Duration {
+		sim := newSimulatedLink(t, 1)
+		sim.monitor.Watch(sim.link, interval, 0)
+		sim.drawGap = func() time.Duration { return sim.jittered(interval, 0.25) }
+		sim.run(3 * time.Minute)
+		sim.outboundOpen, sim.inboundOpen = false, false
+		return sim.runUntil(Down, time.Minute)
 	}
-	fast, slow := noticed(time.Second), noticed(6*time.Second)
+	fast, slow := detectionTime(time.Second), detectionTime(6*time.Second)
 	if fast >= slow {
-		t.Errorf("a cut is noticed after %v at a report a second and after %v at one in 6 s", fast, slow)
+		t.Errorf("a failure is detected after %v with a message each second and after %v with one each 6 s", fast, slow)
 	}
 }
 
-// TestSlowerPaceIsLearned: the other side speaks six times as seldom from some time on. After a few
-// messages that is its pace.
-func TestSlowerPaceIsLearned(t *testing.T) {
-	p := newLinkPlayer(t, 1)
-	p.play(40 * time.Second)
-	p.gap = func() time.Duration { return p.around(6*time.Second, 0.25) }
-	p.play(2 * time.Minute)
-	before := len(p.changes)
-	p.play(5 * time.Minute)
-	for _, c := range p.changes[before:] {
-		if !c.To.Works() {
-			t.Errorf("%v", c)
+// TestLongerMessageIntervalIsAccepted makes the other side send messages at six times the previous
+// interval. Two minutes later, the link must work without interruption.
+func TestLongerMessageIntervalIsAccepted(t *testing.T) {
+	sim := newSimulatedLink(t, 1)
+	sim.run(40 * time.Second)
+	sim.drawGap = func() time.Duration { return sim.jittered(6*time.Second, 0.25) }
+	sim.run(2 * time.Minute)
+	before := len(sim.changes)
+	sim.run(5 * time.Minute)
+	for _, change := range sim.changes[before:] {
+		if !change.To.Works() {
+			t.Errorf("unexpected change %v", change)
 		}
 	}
 }
 
-// TestFlappingLinkIsSuppressed: a link that comes and goes every few seconds stops counting as
-// working until it has been good for a while; one that fails once does not. Without the damper it
-// would count as working again each time.
+// TestFlappingLinkIsSuppressed checks that a link that fails every few seconds is suppressed until it
+// has worked for a while, and that one failure does not suppress a link. Without the damper, a
+// flapping link would count as working after each failure.
 func TestFlappingLinkIsSuppressed(t *testing.T) {
 	for _, period := range []time.Duration{6 * time.Second, 10 * time.Second, 20 * time.Second} {
 		t.Run(period.String(), func(t *testing.T) {
-			p := newLinkPlayer(t, 1)
-			p.play(40 * time.Second)
-			p.cut(5 * time.Second)
-			if p.noticedWithin(Up, 5*time.Second); p.monitor.Status(p.link).Suppressed {
-				t.Fatal("suppressed after one failure")
+			sim := newSimulatedLink(t, 1)
+			sim.run(40 * time.Second)
+			sim.cutFor(5 * time.Second)
+			if sim.runUntil(Up, 5*time.Second); sim.monitor.Status(sim.link).Suppressed {
+				t.Fatal("the link is suppressed after one failure")
 			}
-			usable := 0
+			working := 0
 			for range 12 {
-				p.cut(period / 2)
-				p.play(period / 2)
-				if p.monitor.Status(p.link).Works() {
-					usable++
+				sim.cutFor(period / 2)
+				sim.run(period / 2)
+				if sim.monitor.Status(sim.link).Works() {
+					working++
 				}
 			}
-			if s := p.monitor.Status(p.link); !s.Suppressed || usable > 6 {
-				t.Errorf("after 12 periods: %+v, usable after %d", s, usable)
+			if status := sim.monitor.Status(sim.link); !status.Suppressed || working > 6 {
+				t.Errorf("after 12 failures: %+v; the link worked after %d of them, want suppressed and at most 6", status, working)
 			}
-			p.play(testSettings().Damper.LongestSuppression + 5*time.Second)
-			if s := p.monitor.Status(p.link); !s.Works() {
-				t.Errorf("not used again after a minute without a failure: %+v", s)
+			sim.run(testSettings().Damper.MaxSuppression + 5*time.Second)
+			if status := sim.monitor.Status(sim.link); !status.Works() {
+				t.Errorf("the link does not work after a minute without a failure: %+v", status)
 			}
 		})
 	}
 }
 
-// cut takes the link away for a while.
-func (p *linkPlayer) cut(d time.Duration) {
-	p.there, p.back = false, false
-	p.play(d)
-	p.there, p.back = true, true
+// cutFor closes both directions of the link for d.
+func (sim *simulatedLink) cutFor(d time.Duration) {
+	sim.outboundOpen, sim.inboundOpen = false, false
+	sim.run(d)
+	sim.outboundOpen, sim.inboundOpen = true, true
 }
 
-// TestStandstillIsNoSilence: this process stands still for longer than any silence; what came
-// meanwhile is read afterwards.
-func TestStandstillIsNoSilence(t *testing.T) {
-	p := newLinkPlayer(t, 1)
-	p.play(40 * time.Second)
-	before := len(p.changes)
-	p.now += 20 * time.Second
-	p.nextMessage, p.nextRequest = p.now+playStep, p.now+playStep
-	for i := range p.pending {
-		p.pending[i].at += 20 * time.Second
+// TestPauseOfThisProcessIsNotSilence pauses this process for longer than any tolerated silence.
+// Messages and replies that arrived meanwhile are read afterwards, and the link must stay up.
+func TestPauseOfThisProcessIsNotSilence(t *testing.T) {
+	sim := newSimulatedLink(t, 1)
+	sim.run(40 * time.Second)
+	before := len(sim.changes)
+	sim.now += 20 * time.Second
+	sim.nextMessage, sim.nextRequest = sim.now+simulationStep, sim.now+simulationStep
+	for i := range sim.pending {
+		sim.pending[i].dueAt += 20 * time.Second
 	}
-	p.monitor.StoodStill(20 * time.Second)
-	p.play(10 * time.Second)
-	if len(p.changes) != before {
-		t.Errorf("changes after a standstill: %v", p.changes[before:])
+	sim.monitor.ExcludePause(20 * time.Second)
+	sim.run(10 * time.Second)
+	if len(sim.changes) != before {
+		t.Errorf("changes after a pause of this process: %v", sim.changes[before:])
 	}
 }
 
-// TestLateAnswersHealNothing: an answer to a request of before the cut comes while later ones are
-// lost.
-func TestLateAnswersHealNothing(t *testing.T) {
-	p := newLinkPlayer(t, 1)
-	p.play(40 * time.Second)
-	p.nextID++
-	late := p.nextID
-	p.monitor.Sent(p.link, late, p.now)
-	p.there = false
-	p.noticedWithin(HeardOnly, 8*time.Second)
-	p.monitor.Answered(p.link, late, p.now, false)
-	p.play(playStep)
-	if p.state() != HeardOnly {
-		t.Errorf("the link is %s after an answer to a request of before the cut", p.state())
+// TestLateAnswerDoesNotEndFailure checks that an answer to a request from before a failure does not
+// restore the link while later requests are lost.
+func TestLateAnswerDoesNotEndFailure(t *testing.T) {
+	sim := newSimulatedLink(t, 1)
+	sim.run(40 * time.Second)
+	sim.nextID++
+	lateID := sim.nextID
+	sim.monitor.Sent(sim.link, lateID, sim.now)
+	sim.outboundOpen = false
+	sim.runUntil(HeardOnly, 8*time.Second)
+	sim.monitor.Answered(sim.link, lateID, sim.now, false)
+	sim.run(simulationStep)
+	if sim.state() != HeardOnly {
+		t.Errorf("the link is %s after a late answer to a request from before the failure, want heard-only", sim.state())
 	}
 }
--- a/internal/reachability/sketch.go
+++ b/internal/reachability/sketch.go
@@ -6,87 +6,86 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of what a sketch records. Two significant figures make a histogram of about 11 KB.
+// Bounds of what a sketch records. With two significant digits, a histogram takes about 11 KB.
 const (
-	sketchLeast   = int64(1)                                  // ms
-	sketchMost    = int64(2 * time.Minute / time.Millisecond) // ms
-	sketchFigures = 2
-	sketchWindows = 3
+	sketchMinMS             = int64(1)
+	sketchMaxMS             = int64(2 * time.Minute / time.Millisecond)
+	sketchSignificantDigits = 2
+	sketchWindows           = 3
 )
 
-// enoughSamples is from how many samples on a sketch tells more than a guess.
-const enoughSamples = 20
+// minSamples is how many samples a sketch needs before it returns a quantile.
+const minSamples = 20
 
-// sketch holds the durations of the last few periods as a histogram in milliseconds. The oldest
-// period is forgotten with each rotation, so that a link whose pace has changed is judged by its
-// new pace.
+// sketch holds durations in a histogram of milliseconds with a few time windows. Each rotation drops
+// the oldest window, so that a link whose usual gap or latency has changed is judged by the new one.
 type sketch struct {
-	histogram *hdrhistogram.WindowedHistogram
-	merged    *hdrhistogram.Histogram
-	stale     bool // merged lacks what was recorded since
-	samples   [sketchWindows]int
-	current   int
-	// usualPart is the quantile that counts as the usual most, and usual its value as of the
-	// last refresh; 0: too few samples.
-	usualPart float64
-	usual     time.Duration
+	histogram     *hdrhistogram.WindowedHistogram
+	merged        *hdrhistogram.Histogram
+	mergedStale   bool // samples were recorded since merged was computed
+	samples       [sketchWindows]int
+	currentWindow int
+	// usualQuantile is the quantile that is the usual maximum, and usualMax its value as of the last
+	// refresh; 0: too few samples.
+	usualQuantile float64
+	usualMax      time.Duration
 }
 
-func newSketch(usualPart float64) *sketch {
-	return &sketch{histogram: hdrhistogram.NewWindowed(sketchWindows, sketchLeast, sketchMost, sketchFigures), usualPart: usualPart}
+func newSketch(usualQuantile float64) *sketch {
+	return &sketch{histogram: hdrhistogram.NewWindowed(sketchWindows, sketchMinMS, sketchMaxMS, sketchSignificantDigits), usualQuantile: usualQuantile}
 }
 
-// record adds a duration; what is out of bounds counts as the bound.
+// record adds a duration; a duration out of bounds is recorded as the bound.
 func (s *sketch) record(d time.Duration) {
-	ms := min(max(d.Milliseconds(), sketchLeast), sketchMost)
-	// An error means out of bounds, which the line above rules out.
+	ms := min(max(d.Milliseconds(), sketchMinMS), sketchMaxMS)
+	// RecordValue fails only for a value out of bounds, and ms is within them.
 	_ = s.histogram.Current.RecordValue(ms)
-	s.samples[s.current]++
-	s.stale = true
-	if s.usual == 0 && s.count() == enoughSamples {
+	s.samples[s.currentWindow]++
+	s.mergedStale = true
+	if s.usualMax == 0 && s.count() == minSamples {
 		s.refresh()
 	}
 }
 
-// rotate forgets the oldest period, once the present one has enough samples: a link that says
-// little is judged by what it said long ago.
+// rotate drops the oldest window, but only once the current one has minSamples. A link with little
+// traffic is judged by old samples rather than by too few.
 func (s *sketch) rotate() {
-	if s.samples[s.current] < enoughSamples {
+	if s.samples[s.currentWindow] < minSamples {
 		return
 	}
 	s.histogram.Rotate()
-	s.current = (s.current + 1) % sketchWindows
-	s.samples[s.current] = 0
-	s.stale = true
+	s.currentWindow = (s.currentWindow + 1) % sketchWindows
+	s.samples[s.currentWindow] = 0
+	s.mergedStale = true
 }
 
-// count is how many durations the sketch holds.
+// count returns the number of durations in the sketch.
 func (s *sketch) count() int {
-	n := 0
-	for _, c := range s.samples {
-		n += c
+	total := 0
+	for _, count := range s.samples {
+		total += count
 	}
-	return n
+	return total
 }
 
-// quantile returns the duration that a part of the samples does not exceed. It is exact to two
-// figures as of the last refresh.
-func (s *sketch) quantile(part float64) (time.Duration, bool) {
-	if s.count() < enoughSamples {
+// quantile returns the duration that a fraction of the samples does not exceed, as of the last refresh
+// and exact to two significant digits. It returns false if there are too few samples.
+func (s *sketch) quantile(fraction float64) (time.Duration, bool) {
+	if s.count() < minSamples {
 		return 0, false
 	}
 	if s.merged == nil {
 		s.refresh()
 	}
-	return time.Duration(s.merged.ValueAtQuantile(100*part)) * time.Millisecond, true
+	return time.Duration(s.merged.ValueAtQuantile(100*fraction)) * time.Millisecond, true
 }
 
-// refresh takes into the quantiles what was recorded since the last time. Merging costs some
-// microseconds, so the monitor does it at intervals and not with each sample.
+// refresh includes the samples recorded since the last refresh in the quantiles. Merging the windows
+// takes some microseconds, so the monitor refreshes at intervals and not with each sample.
 func (s *sketch) refresh() {
-	if s.stale || s.merged == nil {
+	if s.mergedStale || s.merged == nil {
 		s.merged = s.histogram.Merge()
-		s.stale = false
-		s.usual, _ = s.quantile(s.usualPart)
+		s.mergedStale = false
+		s.usualMax, _ = s.quantile(s.usualQuantile)
 	}
 }
--- a/internal/reachability/view.go
+++ b/internal/reachability/view.go
@@ -6,128 +6,132 @@
 	"time"
 )
 
-// View is what one controller knows of its links at one time. Controllers exchange views.
+// View holds the status of the links of one controller at one time. Controllers exchange views.
 type View struct {
 	Node string
-	// Life names the process that made the view, and Number orders its views.
+	// Life identifies the run of the process that made the view, and Number orders the views of this
+	// run.
 	Life, Number uint64
 	Links        []Status
 }
 
-// Half is one of the two sides that a controller needs to act as an owner.
-type Half string
+// Dependency is something that a controller must reach to act as an owner.
+type Dependency string
 
-// Halves.
+// Dependencies of an owner.
 const (
-	StateHalf   Half = "state service"
-	WorkersHalf Half = "workers"
+	StateDependency   Dependency = "state service"
+	WorkersDependency Dependency = "workers"
 )
 
-// Holds tells whether a controller with this view reaches a half: all known links of the state
-// service, or any link to workers. known is false if the view says nothing of it.
-func (v View) Holds(half Half) (holds, known bool) {
-	holds = half == StateHalf
-	for _, s := range v.Links {
-		if s.Link.Kind.half() != half || s.State == Unknown {
+// Reaches reports whether the controller that made the view reaches a dependency. For the state service
+// all links in a known state must work, for workers one of them. known is false if the view has no link
+// of the dependency in a known state.
+func (v View) Reaches(dependency Dependency) (reached, known bool) {
+	reached = dependency == StateDependency
+	for _, status := range v.Links {
+		if status.Link.Kind.dependency() != dependency || status.State == Unknown {
 			continue
 		}
 		known = true
-		if half == StateHalf {
-			holds = holds && s.Works()
+		if dependency == StateDependency {
+			reached = reached && status.Works()
 		} else {
-			holds = holds || s.Works()
+			reached = reached || status.Works()
 		}
 	}
-	return holds && known, known
+	return reached && known, known
 }
 
-// half is the half that a kind of link belongs to; empty: neither.
-func (k Kind) half() Half {
+// dependency returns the dependency that a kind of link belongs to, or "" for none.
+func (k Kind) dependency() Dependency {
 	switch k {
 	case StateRequests, StateWrites, StateWatches:
-		return StateHalf
+		return StateDependency
 	case Workers:
-		return WorkersHalf
+		return WorkersDependency
 	}
 	return ""
 }
 
-// Cluster is what this controller knows of all controllers' views.
-type Cluster struct {
-	self    string
-	freshOf time.Duration
-	views   map[string]receivedView
+// ViewSet holds the newest view of each controller, this one included.
+type ViewSet struct {
+	self   string
+	maxAge time.Duration
+	views  map[string]receivedView
 }
 
 type receivedView struct {
-	view View
-	at   time.Duration
+	view       View
+	receivedAt time.Duration
 }
 
-// NewCluster makes an empty collection. A peer's view counts for as long as freshOf after it came.
-func NewCluster(self string, freshOf time.Duration) *Cluster {
-	return &Cluster{self: self, freshOf: freshOf, views: map[string]receivedView{}}
+// NewViewSet returns an empty ViewSet. A peer's view is ignored once maxAge has passed since it was
+// added.
+func NewViewSet(self string, maxAge time.Duration) *ViewSet {
+	return &ViewSet{self: self, maxAge: maxAge, views: map[string]receivedView{}}
 }
 
-// Learn takes a view in. One that was made before the view that is known is ignored.
-func (c *Cluster) Learn(v View, now time.Duration) {
-	if known, ok := c.views[v.Node]; ok && known.view.Life == v.Life && v.Number <= known.view.Number {
+// Add stores a view. A view that is not newer than the stored view of the same run of its controller is
+// ignored.
+func (s *ViewSet) Add(view View, now time.Duration) {
+	if stored, ok := s.views[view.Node]; ok && stored.view.Life == view.Life && view.Number <= stored.view.Number {
 		return
 	}
-	c.views[v.Node] = receivedView{view: v, at: now}
+	s.views[view.Node] = receivedView{view: view, receivedAt: now}
 }
 
-// fresh returns a controller's view if it is recent enough to count.
-func (c *Cluster) fresh(node string, now time.Duration) (View, bool) {
-	r, ok := c.views[node]
-	if !ok || node != c.self && now-r.at > c.freshOf {
+// current returns a controller's view, unless it is a peer's and too old.
+func (s *ViewSet) current(node string, now time.Duration) (View, bool) {
+	received, ok := s.views[node]
+	if !ok || node != s.self && now-received.receivedAt > s.maxAge {
 		return View{}, false
 	}
-	return r.view, true
+	return received.view, true
 }
 
-// Views lists the views that count now, in the order of names.
-func (c *Cluster) Views(now time.Duration) []View {
-	var list []View
-	for _, node := range slices.Sorted(maps.Keys(c.views)) {
-		if v, ok := c.fresh(node, now); ok {
-			list = append(list, v)
+// Views returns the views that are not too old, sorted by controller.
+func (s *ViewSet) Views(now time.Duration) []View {
+	var views []View
+	for _, node := range slices.Sorted(maps.Keys(s.views)) {
+		if view, ok := s.current(node, now); ok {
+			views = append(views, view)
 		}
 	}
-	return list
+	return views
 }
 
-// Extent tells who has lost a half.
-type Extent string
+// LossExtent states which controllers have lost a dependency.
+type LossExtent string
 
 // Extents of a loss.
 const (
-	// Intact: this controller has the half, or does not know otherwise.
-	Intact Extent = "intact"
-	// Alone: this controller has lost it, and a peer has it.
-	Alone Extent = "alone"
-	// Shared: this controller and every peer whose view counts have lost it.
-	Shared Extent = "shared"
-	// Unclear: this controller has lost it, and no peer's view counts.
-	Unclear Extent = "unclear"
+	// Intact: this controller reaches the dependency, or has no information on it.
+	Intact LossExtent = "intact"
+	// Alone: this controller has lost it, and a peer reaches it.
+	Alone LossExtent = "alone"
+	// Shared: this controller has lost it, and so has every peer with a current view that covers it.
+	Shared LossExtent = "shared"
+	// Unclear: this controller has lost it, and no peer has a current view that covers it.
+	Unclear LossExtent = "unclear"
 )
 
-// Loss tells who has lost a half, as far as is known now.
-func (c *Cluster) Loss(half Half, now time.Duration) Extent {
-	own, ok := c.fresh(c.self, now)
+// Loss returns which controllers have lost a dependency, according to the current views.
+func (s *ViewSet) Loss(dependency Dependency, now time.Duration) LossExtent {
+	own, ok := s.current(s.self, now)
 	if !ok {
 		return Intact
 	}
-	if holds, known := own.Holds(half); holds || !known {
+	if reached, known := own.Reaches(dependency); reached || !known {
 		return Intact
 	}
 	extent := Unclear
-	for _, v := range c.Views(now) {
-		if v.Node == c.self {
+	for _, view := range s.Views(now) {
+		if view.Node == s.self {
 			continue
 		}
-		holds, known := v.Holds(half)
-		if holds {
+		reached, known := view.Reaches(dependency)
+		if reached {
 			return Alone
 		}
 		if known {
--- a/internal/reachability/view_test.go
+++ b/internal/reachability/view_test.go
@@ -5,107 +5,110 @@
 	"time"
 )
 
-// viewOf makes a view with the given states of the state service's requests and of workers.
-func viewOf(node string, state, workers State) View {
+// newView returns a view with the given states of the links for requests to the state service and to
+// workers.
+func newView(node string, state, workers State) View {
 	return View{Node: node, Links: []Status{
 		{Link: Link{Kind: StateRequests}, State: state},
 		{Link: Link{Kind: Workers, Name: "small a"}, State: workers},
 	}}
 }
 
-func TestExtentOfALoss(t *testing.T) {
+func TestLossExtent(t *testing.T) {
 	const now = 10 * time.Second
 	cases := []struct {
 		name           string
 		own            View
 		peers          []View
-		state, workers Extent
+		state, workers LossExtent
 	}{
-		{name: "all is well", own: viewOf("a", Up, Up), peers: []View{viewOf("b", Up, Unknown)}, state: Intact, workers: Intact},
-		{name: "the state service alone", own: viewOf("a", Down, Up), peers: []View{viewOf("b", Up, Unknown)}, state: Alone, workers: Intact},
-		{name: "the workers alone", own: viewOf("a", Up, Down), peers: []View{viewOf("b", Up, Up)}, state: Intact, workers: Alone},
-		{name: "an outage", own: viewOf("a", Refused, Up), peers: []View{viewOf("b", Refused, Unknown), viewOf("c", Down, Unknown)}, state: Shared, workers: Intact},
-		{name: "opposite halves", own: viewOf("a", Down, Up), peers: []View{viewOf("b", Up, Down)}, state: Alone, workers: Intact},
-		{name: "nobody can be asked", own: viewOf("a", Down, Up), state: Unclear, workers: Intact},
-		{name: "heard but not answered", own: viewOf("a", HeardOnly, Up), peers: []View{viewOf("b", Up, Up)}, state: Alone, workers: Intact},
+		{name: "all is well", own: newView("a", Up, Up), peers: []View{newView("b", Up, Unknown)}, state: Intact, workers: Intact},
+		{name: "the state service alone", own: newView("a", Down, Up), peers: []View{newView("b", Up, Unknown)}, state: Alone, workers: Intact},
+		{name: "the workers alone", own: newView("a", Up, Down), peers: []View{newView("b", Up, Up)}, state: Intact, workers: Alone},
+		{name: "an outage", own: newView("a", Refused, Up), peers: []View{newView("b", Refused, Unknown), newView("c", Down, Unknown)}, state: Shared, workers: Intact},
+		{name: "opposite halves", own: newView("a", Down, Up), peers: []View{newView("b", Up, Down)}, state: Alone, workers: Intact},
+		{name: "nobody can be asked", own: newView("a", Down, Up), state: Unclear, workers: Intact},
+		{name: "heard but not answered", own: newView("a", HeardOnly, Up), peers: []View{newView("b", Up, Up)}, state: Alone, workers: Intact},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			cluster := NewCluster("a", 5*time.Second)
-			cluster.Learn(c.own, now)
-			for _, v := range c.peers {
-				cluster.Learn(v, now-time.Second)
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			views := NewViewSet("a", 5*time.Second)
+			views.Add(tc.own, now)
+			for _, view := range tc.peers {
+				views.Add(view, now-time.Second)
 			}
-			if got := cluster.Loss(StateHalf, now); got != c.state {
-				t.Errorf("state service: %s, want %s", got, c.state)
+			if got := views.Loss(StateDependency, now); got != tc.state {
+				t.Errorf("state service: %s, want %s", got, tc.state)
 			}
-			if got := cluster.Loss(WorkersHalf, now); got != c.workers {
-				t.Errorf("workers: %s, want %s", got, c.workers)
+			if got := views.Loss(WorkersDependency, now); got != tc.workers {
+				t.Errorf("workers: %s, want %s", got, tc.workers)
 			}
 		})
 	}
 }
 
-// numbered gives a view its place among those of its process.
-func numbered(v View, life, number uint64) View {
-	v.Life, v.Number = life, number
-	return v
+// numbered returns the view with the given run of its process and number.
+func numbered(view View, incarnation, number uint64) View {
+	view.Life, view.Number = incarnation, number
+	return view
 }
 
-// TestLateViewsDoNotCount: a view that comes late does not replace a newer one, one of a restarted
-// process does, and one that is old counts no more.
-func TestLateViewsDoNotCount(t *testing.T) {
-	cluster := NewCluster("a", 5*time.Second)
-	cluster.Learn(viewOf("a", Down, Up), 10*time.Second)
-	cluster.Learn(numbered(viewOf("b", Down, Up), 7, 2), 10*time.Second)
-	cluster.Learn(numbered(viewOf("b", Up, Up), 7, 1), 11*time.Second)
-	if got := cluster.Loss(StateHalf, 11*time.Second); got != Shared {
-		t.Errorf("a late view counts: %s", got)
+// TestOutdatedViewsAreIgnored checks that a view that arrives late does not replace a newer one, that a
+// view of a restarted process does, and that a view expires.
+func TestOutdatedViewsAreIgnored(t *testing.T) {
+	views := NewViewSet("a", 5*time.Second)
+	views.Add(newView("a", Down, Up), 10*time.Second)
+	views.Add(numbered(newView("b", Down, Up), 7, 2), 10*time.Second)
+	views.Add(numbered(newView("b", Up, Up), 7, 1), 11*time.Second)
+	if got := views.Loss(StateDependency, 11*time.Second); got != Shared {
+		t.Errorf("%s after a view that arrived late, want shared", got)
 	}
-	cluster.Learn(numbered(viewOf("b", Up, Up), 8, 1), 12*time.Second)
-	if got := cluster.Loss(StateHalf, 12*time.Second); got != Alone {
-		t.Errorf("the view of a restarted process does not count: %s", got)
+	views.Add(numbered(newView("b", Up, Up), 8, 1), 12*time.Second)
+	if got := views.Loss(StateDependency, 12*time.Second); got != Alone {
+		t.Errorf("%s after a view of a restarted process, want alone", got)
 	}
-	if got := cluster.Loss(StateHalf, 18*time.Second); got != Unclear {
-		t.Errorf("a view of six seconds ago counts: %s", got)
+	if got := views.Loss(StateDependency, 18*time.Second); got != Unclear {
+		t.Errorf("%s with a view of six seconds ago, want unclear", got)
 	}
 }
 
-// TestSuspendedLinkKeepsItsDamper: a controller's links to workers came and went while it was an
-// owner. As long as it is none nothing is expected on them, and what they did is not forgotten.
-func TestSuspendedLinkKeepsItsDamper(t *testing.T) {
-	m := NewMonitor(testSettings(), 0)
+// TestSuspendedLinkKeepsItsPenalty checks that a link that flapped stays suppressed while it is
+// suspended. Links to workers are suspended while a controller owns no class, and must not count as
+// working at once when it owns one again.
+func TestSuspendedLinkKeepsItsPenalty(t *testing.T) {
+	monitor := NewMonitor(testSettings(), 0)
 	link := Link{Kind: Workers, Name: "small a"}
-	m.Watch(link, time.Second, 0)
+	monitor.Watch(link, time.Second, 0)
 	now := time.Second
-	hear := func(d time.Duration, arrives bool) {
+	run := func(d time.Duration, arrives bool) {
 		for end := now + d; now < end; now += 250 * time.Millisecond {
 			if arrives {
-				m.Heard(link, now)
+				monitor.Received(link, now)
 			}
-			m.Tick(now)
+			monitor.Tick(now)
 		}
 	}
 	for range 4 {
-		hear(8*time.Second, true)
-		hear(4*time.Second, false)
+		run(8*time.Second, true)
+		run(4*time.Second, false)
 	}
-	m.Suspend(link)
-	hear(10*time.Second, false)
-	if s := m.Status(link); s.State != Unknown || !s.Suppressed || s.Changes != 4 {
-		t.Errorf("suspended: %+v", s)
+	monitor.Suspend(link)
+	run(10*time.Second, false)
+	if status := monitor.Status(link); status.State != Unknown || !status.Suppressed || status.Changes != 4 {
+		t.Errorf("after the suspension: %+v, want unknown, suppressed and 4 changes", status)
 	}
-	hear(testSettings().Damper.LongestSuppression, false)
-	if s := m.Status(link); s.Suppressed || s.Changes != 4 {
-		t.Errorf("after a minute: %+v", s)
+	run(testSettings().Damper.MaxSuppression, false)
+	if status := monitor.Status(link); status.Suppressed || status.Changes != 4 {
+		t.Errorf("a minute later: %+v, want not suppressed and 4 changes", status)
 	}
 }
 
-// TestSuppressedLinksDoNotHold: a link that flaps does not count although it is up right now.
-func TestSuppressedLinksDoNotHold(t *testing.T) {
-	v := viewOf("b", Up, Up)
-	v.Links[0].Suppressed = true
-	if holds, known := v.Holds(StateHalf); holds || !known {
-		t.Errorf("holds the state service: %t, known: %t", holds, known)
+// TestSuppressedLinkDoesNotWork checks that a dependency whose link is up but suppressed counts as not
+// reached.
+func TestSuppressedLinkDoesNotWork(t *testing.T) {
+	view := newView("b", Up, Up)
+	view.Links[0].Suppressed = true
+	if reached, known := view.Reaches(StateDependency); reached || !known {
+		t.Errorf("reaches the state service: %t, known: %t; want false, true", reached, known)
 	}
 }
