--- a/internal/statestore/mirror.go
+++ b/internal/statestore/mirror.go
@@ -10,66 +10,70 @@
 	"umberpaddle/internal/wire"
 )
 
-// Root is the prefix of the mirrored keys. Final job states stand outside it:
-// they are kept for ever and must not be in memory.
+// Root is the prefix of the mirrored keys. Final job states are stored outside it,
+// because they are kept for ever and would fill the memory.
 const Root = "u/"
 
-// Entry is a mirrored key.
+// Entry is the value of a mirrored key and the version of that value.
 type Entry struct {
 	Value   []byte
 	Version uint64
 }
 
-// Change is a change of the mirror, for the slices that follow it.
+// Change is a change of one mirrored key. If the key was removed, Entry is the last
+// one it had.
 type Change struct {
 	Key     string
 	Entry   Entry
 	Removed bool
 }
 
-// Mirror follows every key under Root: it reads them once and then watches.
+// Mirror is a copy of every key under Root. It reads all keys once and then follows
+// their changes by a watch.
 type Mirror struct {
 	store    *Store
 	keys     map[string]Entry
 	Revision uint64
 	Loaded   bool
-	// Readings counts how often all keys were read: at first, and again after a 410.
-	Readings int
-	// KnownThrough is the time, at which a request left, up to which every change is in the
-	// mirror.
+	// FullReads counts how often all keys were read: at the start, and after each 410.
+	FullReads int
+	// KnownThrough is a time at which a request was sent. The mirror contains every change
+	// made before it.
 	KnownThrough    time.Duration
 	requestInFlight bool
 	retryAt         time.Duration
 	nextWatch       time.Duration // no new watch before this
-	loading         *initialRead
+	loading         *fullRead
 	changes         []Change
 }
 
-type initialRead struct {
-	seen     map[string]bool
-	revision uint64
-	since    string
-	began    time.Duration // when the first page was asked for
+// fullRead is the state of reading all keys, page by page.
+type fullRead struct {
+	seen      map[string]bool // keys read so far
+	revision  uint64          // of the first page
+	lastKey   string          // last key read
+	startedAt time.Duration   // when the request for the first page was sent
 }
 
 func newMirror(s *Store) *Mirror { return &Mirror{store: s, keys: map[string]Entry{}} }
 
-// Get reads a mirrored key.
+// Get returns a mirrored key.
 func (m *Mirror) Get(key string) (Entry, bool) {
 	e, ok := m.keys[key]
 	return e, ok
 }
 
-// Len is how many keys are mirrored.
+// Len returns the number of mirrored keys.
 func (m *Mirror) Len() int { return len(m.keys) }
 
 // TakeChanges returns the changes since the last call.
 func (m *Mirror) TakeChanges() []Change {
-	c := m.changes
+	taken := m.changes
 	m.changes = nil
-	return c
+	return taken
 }
 
+// set stores a key, unless the mirror already has that version or a newer one.
 func (m *Mirror) set(key string, e Entry) {
 	if !strings.HasPrefix(key, Root) {
 		return
@@ -81,6 +85,7 @@
 	m.changes = append(m.changes, Change{Key: key, Entry: e})
 }
 
+// remove deletes a key, unless the mirror has a newer version than the removal.
 func (m *Mirror) remove(key string, version uint64) {
 	old, ok := m.keys[key]
 	if !ok || old.Version > version {
@@ -90,6 +95,7 @@
 	m.changes = append(m.changes, Change{Key: key, Entry: old, Removed: true})
 }
 
+// tick sends the next request: for a page while all keys are being read, else a watch.
 func (m *Mirror) tick() {
 	watching := m.Loaded && m.loading == nil
 	if m.requestInFlight || m.store.now < m.retryAt || (watching && m.store.now < m.nextWatch) {
@@ -98,18 +104,18 @@
 	m.requestInFlight = true
 	if !watching {
 		if m.loading == nil {
-			m.loading = &initialRead{seen: map[string]bool{}}
+			m.loading = &fullRead{seen: map[string]bool{}}
 		}
-		m.store.List(Lease, Root, m.loading.since, m.pageRead)
+		m.store.List(PriorityLease, Root, m.loading.lastKey, m.handlePage)
 		return
 	}
-	// Guards against watches that used up the requests of a node: each change of
-	// any key ends one, and there may be more changes than this node has requests.
+	// Without this interval, watches use up the node's request budget: every change of
+	// any key ends a watch, and keys may change more often than the node may send requests.
 	m.nextWatch = m.store.now + time.Duration(float64(time.Second)/(limits.WatchShare*m.store.requestBucket.rate))
 	hold := limits.WatchHold
 	path := fmt.Sprintf("/watch?starts=%s&since=%d&holdMs=%d", url.QueryEscape(Root), m.Revision, hold.Milliseconds())
 	m.store.requestBucket.level--
-	m.store.send(&request{method: "GET", path: path, done: m.watchAnswered}, hold+limits.StoreTimeout)
+	m.store.send(&request{method: "GET", path: path, done: m.handleWatchReply}, hold+limits.StoreTimeout)
 }
 
 func (m *Mirror) retryLater() {
@@ -117,65 +123,69 @@
 	m.retryAt = m.store.now + limits.StoreBackoff
 }
 
-func (m *Mirror) pageRead(r Reply) {
-	var rows wire.Rows
+// handlePage takes a page of a full read. After the last page it removes the keys that
+// were not read.
+func (m *Mirror) handlePage(r Reply) {
+	var rows wire.KeyValuePage
 	if r.Status != OK || wire.Decode(r.Body, &rows) != nil {
 		m.retryLater()
 		return
 	}
 	m.requestInFlight = false
-	l := m.loading
-	if l.since == "" {
-		// The watch starts from the first page's revision: what changes while
-		// the later pages are read is told again, and versions sort it out.
-		l.revision, l.began = rows.Revision, r.SentAt
+	load := m.loading
+	if load.lastKey == "" {
+		// The watch starts from the first page's revision. It reports again what
+		// changed while the later pages were read; set and remove ignore old versions.
+		load.revision, load.startedAt = rows.Revision, r.SentAt
 	}
-	for _, row := range rows.Rows {
-		l.seen[row.Key] = true
+	for _, row := range rows.Entries {
+		load.seen[row.Key] = true
 		m.set(row.Key, Entry{row.Value, row.Version})
-		l.since = row.Key
+		load.lastKey = row.Key
 	}
-	if rows.More && len(rows.Rows) > 0 {
+	if rows.More && len(rows.Entries) > 0 {
 		return
 	}
 	for k, e := range m.keys {
-		if !l.seen[k] {
+		if !load.seen[k] {
 			m.remove(k, e.Version)
 		}
 	}
-	m.Revision = l.revision
-	m.KnownThrough = max(m.KnownThrough, l.began)
+	m.Revision = load.revision
+	m.KnownThrough = max(m.KnownThrough, load.startedAt)
 	m.loading = nil
 	m.Loaded = true
-	m.Readings++
+	m.FullReads++
 }
 
-func (m *Mirror) watchAnswered(r Reply) {
+// handleWatchReply applies the changes of a watch. A 410 means that the service no longer
+// has the changes since Revision, so all keys are read again.
+func (m *Mirror) handleWatchReply(r Reply) {
 	if r.Status == 410 {
 		m.requestInFlight = false
-		m.loading = &initialRead{seen: map[string]bool{}}
+		m.loading = &fullRead{seen: map[string]bool{}}
 		return
 	}
-	var w wire.Watched
-	if r.Status != OK || wire.Decode(r.Body, &w) != nil {
+	var watched wire.WatchReply
+	if r.Status != OK || wire.Decode(r.Body, &watched) != nil {
 		m.retryLater()
 		return
 	}
 	m.requestInFlight = false
-	for _, e := range w.Events {
+	for _, e := range watched.Events {
 		if e.Put != "" {
 			m.set(e.Put, Entry{e.Value, e.Version})
 		} else {
 			m.remove(e.Remove, e.Version)
 		}
 	}
-	if w.Revision > m.Revision {
-		m.Revision = w.Revision
+	if watched.Revision > m.Revision {
+		m.Revision = watched.Revision
 	}
 	m.KnownThrough = max(m.KnownThrough, r.SentAt)
 }
 
-// Put enters a key that this node has just written, ahead of the watch.
+// Put stores a key that this node has just written, before the watch reports it.
 func (m *Mirror) Put(key string, value []byte, version uint64) {
 	m.set(key, Entry{value, version})
 }
--- a/internal/statestore/record_table.go
+++ b/internal/statestore/record_table.go
@@ -15,179 +15,187 @@
 	"umberpaddle/internal/wire"
 )
 
-// RecordTable keeps many small records of a class's owner in few keys, PREFIX/CLASS/N.
-// The state service counts changes of keys, not bytes: with a key for each of
-// some hundred machines and jobs, a fleet waited for minutes until it was
-// written down. Records become known, here as at every other node, only by the
-// mirror.
+// RecordTable stores many small records of a class in few keys, PREFIX/CLASS/N, which
+// the owner of the class writes. The state service limits writes of keys, not of bytes:
+// with one key for each of several hundred machines and jobs, storing a fleet took
+// minutes. A written record takes effect, on this node as on every other, only when it
+// appears in the mirror.
 type RecordTable struct {
-	store       *Store
-	prefix      string
-	pageBytes   int // bytes of a key's records
-	guard       func(class string) wire.Guard
-	apply       func(id, class string, value msgpack.RawMessage, gone bool)
-	pages       map[string]*page // by key
-	pageOf      map[string]*page // by record
-	writing     bool
-	pausedUntil time.Duration // no writing before this
+	store         *Store
+	prefix        string
+	maxPageBytes  int                           // most bytes of records in one page
+	guard         func(class string) wire.Guard // of the class's ownership; version 0: not owned by this node
+	apply         func(id, class string, value msgpack.RawMessage, removed bool)
+	pages         map[string]*page // by key
+	pageOf        map[string]*page // by record ID
+	writeInFlight bool
+	pausedUntil   time.Duration // no transaction before this
 }
 
-// page is one key of a record table.
+// page is one key of a record table, with the records that it holds.
 type page struct {
 	class   string
 	key     string
 	version uint64
-	stored  map[string]msgpack.RawMessage
-	pending map[string]pendingRecord
-	size    int
-	due     time.Duration // when the pending records are to be written
-	urgent  bool
+	stored  map[string]msgpack.RawMessage // records in the mirror
+	pending map[string]pendingRecord      // changes that are not in the mirror yet
+	size    int                           // bytes of the records once the pending ones are written
+	due     time.Duration                 // pending records are written from this time on
+	urgent  bool                          // a job or machine waits for a pending record
 }
 
+// pendingRecord is a requested change of a record.
 type pendingRecord struct {
-	value msgpack.RawMessage // nil: to be removed
+	value msgpack.RawMessage // nil: remove the record
 }
 
-// NewRecordTable makes the records below prefix, which ends in a slash. apply is told
-// of every record that appears, changes or goes, whoever wrote it.
-func NewRecordTable(s *Store, prefix string, guard func(class string) wire.Guard, apply func(id, class string, value msgpack.RawMessage, gone bool)) *RecordTable {
-	return &RecordTable{store: s, prefix: prefix, pageBytes: min(int(s.ValueBytes*limits.PageFill), limits.PageMost), guard: guard, apply: apply,
+// NewRecordTable returns a table of the records under prefix, which ends in a slash.
+// apply is called for every record that is added, changed or removed in the mirror, by
+// this or another node. guard returns the guard of a class's ownership, with version 0
+// if this node does not own the class.
+func NewRecordTable(s *Store, prefix string, guard func(class string) wire.Guard, apply func(id, class string, value msgpack.RawMessage, removed bool)) *RecordTable {
+	return &RecordTable{store: s, prefix: prefix, maxPageBytes: min(int(s.MaxValueBytes*limits.PageFillShare), limits.MaxPageBytes), guard: guard, apply: apply,
 		pages: map[string]*page{}, pageOf: map[string]*page{}}
 }
 
-// recordSize reckons a record's bytes in the JSON form in which limits are measured.
+// recordSize estimates the bytes of a record in JSON, the form in which the state service
+// measures its limits.
 func recordSize(id string, value msgpack.RawMessage) int { return len(id) + 2*len(value) + 8 }
 
-func (p *RecordTable) page(key string) *page {
-	pg := p.pages[key]
+// page returns the page of a key. It creates the page if there is none.
+func (t *RecordTable) page(key string) *page {
+	pg := t.pages[key]
 	if pg == nil {
-		class, _, _ := strings.Cut(strings.TrimPrefix(key, p.prefix), "/")
-		if c, err := url.PathUnescape(class); err == nil {
-			class = c
+		class, _, _ := strings.Cut(strings.TrimPrefix(key, t.prefix), "/")
+		if unescaped, err := url.PathUnescape(class); err == nil {
+			class = unescaped
 		}
 		pg = &page{class: class, key: key, stored: map[string]msgpack.RawMessage{}, pending: map[string]pendingRecord{}}
-		p.pages[key] = pg
+		t.pages[key] = pg
 	}
 	return pg
 }
 
-// Apply follows a change of the mirror.
-func (p *RecordTable) Apply(c Change) {
-	if rest, ok := strings.CutPrefix(c.Key, p.prefix); !ok || !strings.Contains(rest, "/") {
+// Apply updates the table from a change of the mirror.
+func (t *RecordTable) Apply(change Change) {
+	if rest, ok := strings.CutPrefix(change.Key, t.prefix); !ok || !strings.Contains(rest, "/") {
 		return
 	}
 	records := map[string]msgpack.RawMessage{}
-	if !c.Removed && wire.Decode(c.Entry.Value, &records) != nil {
+	if !change.Removed && wire.Decode(change.Entry.Value, &records) != nil {
 		return
 	}
-	pg := p.page(c.Key)
-	pg.version = c.Entry.Version
-	if c.Removed {
+	pg := t.page(change.Key)
+	pg.version = change.Entry.Version
+	if change.Removed {
 		pg.version = 0
 	}
 	before := pg.stored
 	pg.stored = records
 	for _, id := range slices.Sorted(maps.Keys(before)) {
-		if _, ok := records[id]; !ok && p.pageOf[id] == pg {
-			p.recordGone(pg, id)
+		if _, ok := records[id]; !ok && t.pageOf[id] == pg {
+			t.applyRemoval(pg, id)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(records)) {
 		value := records[id]
-		if w, ok := pg.pending[id]; ok && bytes.Equal(w.value, value) {
+		if wanted, ok := pg.pending[id]; ok && bytes.Equal(wanted.value, value) {
 			delete(pg.pending, id)
 		}
-		if was := p.pageOf[id]; was != nil && was != pg {
-			p.recordMoved(was, pg, id, value)
+		if oldPage := t.pageOf[id]; oldPage != nil && oldPage != pg {
+			t.applyMove(oldPage, pg, id, value)
 		}
-		p.pageOf[id] = pg
+		t.pageOf[id] = pg
 		if old, ok := before[id]; !ok || !bytes.Equal(old, value) {
-			p.apply(id, pg.class, value, false)
+			t.apply(id, pg.class, value, false)
 		}
 	}
-	p.updateSize(pg)
+	t.updateSize(pg)
 }
 
-// recordGone follows a record that its key holds no more.
-func (p *RecordTable) recordGone(pg *page, id string) {
-	if w, ok := pg.pending[id]; !ok || w.value == nil {
-		delete(p.pageOf, id)
+// applyRemoval handles a record that its page no longer holds.
+func (t *RecordTable) applyRemoval(pg *page, id string) {
+	if wanted, ok := pg.pending[id]; !ok || wanted.value == nil {
+		delete(t.pageOf, id)
 		delete(pg.pending, id)
 	}
-	p.apply(id, pg.class, nil, true)
+	t.apply(id, pg.class, nil, true)
 }
 
-// recordMoved follows a record that another key holds now: what is still to be written of it
-// goes along.
-func (p *RecordTable) recordMoved(from, to *page, id string, value msgpack.RawMessage) {
-	w, ok := from.pending[id]
+// applyMove handles a record that has moved to another page. A pending change of the
+// record moves with it.
+func (t *RecordTable) applyMove(from, to *page, id string, value msgpack.RawMessage) {
+	wanted, ok := from.pending[id]
 	if !ok {
 		return
 	}
 	delete(from.pending, id)
-	if !bytes.Equal(w.value, value) {
-		to.pending[id] = w
+	if !bytes.Equal(wanted.value, value) {
+		to.pending[id] = wanted
 		to.due = min(to.due, from.due)
 		to.urgent = to.urgent || from.urgent
 	}
-	p.updateSize(from)
+	t.updateSize(from)
 }
 
-// Stored returns a record as the mirror has it.
-func (p *RecordTable) Stored(id string) (msgpack.RawMessage, bool) {
-	if pg := p.pageOf[id]; pg != nil {
-		v, ok := pg.stored[id]
-		return v, ok
+// Stored returns a record as it is in the mirror.
+func (t *RecordTable) Stored(id string) (msgpack.RawMessage, bool) {
+	if pg := t.pageOf[id]; pg != nil {
+		value, ok := pg.stored[id]
+		return value, ok
 	}
 	return nil, false
 }
 
-func (p *RecordTable) updateSize(pg *page) {
+func (t *RecordTable) updateSize(pg *page) {
 	pg.size = 0
-	for id, v := range pg.stored {
+	for id, value := range pg.stored {
 		if _, ok := pg.pending[id]; !ok {
-			pg.size += recordSize(id, v)
+			pg.size += recordSize(id, value)
 		}
 	}
-	for id, w := range pg.pending {
-		if w.value != nil {
-			pg.size += recordSize(id, w.value)
+	for id, wanted := range pg.pending {
+		if wanted.value != nil {
+			pg.size += recordSize(id, wanted.value)
 		}
 	}
 }
 
-// Set requests a record, to be written within wait; without a wait it is
-// urgent, and goes with everything else that waits for its key.
-func (p *RecordTable) Set(class, id string, value any, wait time.Duration) {
-	p.set(class, id, value, wait, wait == 0)
+// Set requests that a record is written. The write may be delayed by up to wait,
+// to be batched with others. With wait 0 the record is urgent: it is written as soon as possible,
+// together with all other pending records of its page.
+func (t *RecordTable) Set(class, id string, value any, wait time.Duration) {
+	t.set(class, id, value, wait, wait == 0)
 }
 
-// SetUrgent is Set for a record that is urgent although it may wait for others to go with.
-func (p *RecordTable) SetUrgent(class, id string, value any, wait time.Duration) {
-	p.set(class, id, value, wait, true)
+// SetUrgent is Set for a record that is urgent even though its write may be delayed by
+// up to wait.
+func (t *RecordTable) SetUrgent(class, id string, value any, wait time.Duration) {
+	t.set(class, id, value, wait, true)
 }
 
-func (p *RecordTable) set(class, id string, value any, wait time.Duration, urgent bool) {
+func (t *RecordTable) set(class, id string, value any, wait time.Duration, urgent bool) {
 	raw, err := wire.Encode(value)
 	if err != nil {
 		return
 	}
-	pg := p.pageOf[id]
+	pg := t.pageOf[id]
 	if pg == nil {
-		pg = p.pageWithRoom(class, recordSize(id, raw))
-		p.pageOf[id] = pg
+		pg = t.pageWithRoom(class, recordSize(id, raw))
+		t.pageOf[id] = pg
 	}
-	p.request(pg, id, raw, wait, urgent)
+	t.setPending(pg, id, raw, wait, urgent)
 }
 
-// Remove requests that a record is removed within wait.
-func (p *RecordTable) Remove(id string, wait time.Duration) {
-	if pg := p.pageOf[id]; pg != nil {
-		p.request(pg, id, nil, wait, wait == 0)
+// Remove requests that a record is removed. wait is as for Set.
+func (t *RecordTable) Remove(id string, wait time.Duration) {
+	if pg := t.pageOf[id]; pg != nil {
+		t.setPending(pg, id, nil, wait, wait == 0)
 	}
 }
 
-func (p *RecordTable) request(pg *page, id string, value msgpack.RawMessage, wait time.Duration, urgent bool) {
+// setPending makes value the pending value of a record in its page; nil removes the record.
+func (t *RecordTable) setPending(pg *page, id string, value msgpack.RawMessage, wait time.Duration, urgent bool) {
 	if old, ok := pg.pending[id]; ok {
 		if bytes.Equal(old.value, value) && (!urgent || pg.urgent) {
 			return
@@ -204,94 +212,95 @@
 	if value != nil {
 		pg.size += recordSize(id, value)
 	}
-	if at := p.store.now + wait; len(pg.pending) == 0 || at < pg.due {
+	if at := t.store.now + wait; len(pg.pending) == 0 || at < pg.due {
 		pg.due = at
 	}
 	pg.urgent = pg.urgent || urgent
 	pg.pending[id] = pendingRecord{value}
 }
 
-// pageWithRoom finds a key with room for a new record of a class.
-func (p *RecordTable) pageWithRoom(class string, size int) *page {
+// pageWithRoom returns a page of a class that has room for a new record.
+func (t *RecordTable) pageWithRoom(class string, size int) *page {
 	for n := 0; ; n++ {
-		pg := p.page(p.prefix + url.PathEscape(class) + "/" + strconv.Itoa(n))
-		if pg.size+size <= p.pageBytes || pg.size == 0 {
+		pg := t.page(t.prefix + url.PathEscape(class) + "/" + strconv.Itoa(n))
+		if pg.size+size <= t.maxPageBytes || pg.size == 0 {
 			return pg
 		}
 	}
 }
 
-// Forget drops the pending records of a class that this node owns no more.
-func (p *RecordTable) Forget(class string) {
-	for _, pg := range p.pages {
+// DropPending drops the pending changes of a class that this node no longer owns.
+func (t *RecordTable) DropPending(class string) {
+	for _, pg := range t.pages {
 		if pg.class != class {
 			continue
 		}
 		for id := range pg.pending {
-			if _, ok := pg.stored[id]; !ok && p.pageOf[id] == pg {
-				delete(p.pageOf, id)
+			if _, ok := pg.stored[id]; !ok && t.pageOf[id] == pg {
+				delete(t.pageOf, id)
 			}
 		}
 		clear(pg.pending)
 		pg.urgent = false
-		p.updateSize(pg)
+		t.updateSize(pg)
 	}
 }
 
-// movedPart is records that move to a key of their own.
+// movedPart is a set of records that move to another page when a page is split.
 type movedPart struct {
 	page    *page
 	records map[string]msgpack.RawMessage
 }
 
-// records is what a key holds once its pending records are written.
+// records returns the records that a page holds once its pending changes are written.
 func (pg *page) records() map[string]msgpack.RawMessage {
 	recs := maps.Clone(pg.stored)
-	for id, w := range pg.pending {
-		if w.value == nil {
+	for id, wanted := range pg.pending {
+		if wanted.value == nil {
 			delete(recs, id)
 		} else {
-			recs[id] = w.value
+			recs[id] = wanted.value
 		}
 	}
 	return recs
 }
 
-// split finds unused keys for what a key holds beyond its room.
-func (p *RecordTable) split(pg *page, recs map[string]msgpack.RawMessage) (list []movedPart) {
+// split assigns the records that exceed a page's limit to unused pages. It returns only
+// those records.
+func (t *RecordTable) split(pg *page, recs map[string]msgpack.RawMessage) (parts []movedPart) {
 	size, n := 0, 0
-	var to *movedPart
+	var last *movedPart
 	for _, id := range slices.Sorted(maps.Keys(recs)) {
-		c := recordSize(id, recs[id])
-		if size+c <= p.pageBytes || size == 0 {
-			size += c
-			if to != nil {
-				to.records[id] = recs[id]
+		recSize := recordSize(id, recs[id])
+		if size+recSize <= t.maxPageBytes || size == 0 {
+			size += recSize
+			if last != nil {
+				last.records[id] = recs[id]
 			}
 			continue
 		}
 		for ; ; n++ {
-			x := p.page(p.prefix + url.PathEscape(pg.class) + "/" + strconv.Itoa(n))
-			if x.version == 0 && len(x.stored) == 0 && len(x.pending) == 0 {
+			unused := t.page(t.prefix + url.PathEscape(pg.class) + "/" + strconv.Itoa(n))
+			if unused.version == 0 && len(unused.stored) == 0 && len(unused.pending) == 0 {
 				n++
-				list = append(list, movedPart{x, map[string]msgpack.RawMessage{id: recs[id]}})
+				parts = append(parts, movedPart{unused, map[string]msgpack.RawMessage{id: recs[id]}})
 				break
 			}
 		}
-		to, size = &list[len(list)-1], c
+		last, size = &parts[len(parts)-1], recSize
 	}
-	return list
+	return parts
 }
 
-// tableWrite is a transaction in the making: the pages in the order of its changes.
+// tableWrite is a transaction that is being put together. txn.Then[i] writes pages[i].
 type tableWrite struct {
-	txn    wire.Txn
-	pages  []*page
-	size   int
-	guards map[string]bool // classes whose owner's guard it carries
+	txn            wire.Txn
+	pages          []*page
+	size           int             // bytes of the records
+	guardedClasses map[string]bool // classes whose ownership guard is in the transaction
 }
 
-// add puts a page's records into the transaction.
+// add adds a page's records to the transaction. It reports whether they could be encoded.
 func (w *tableWrite) add(pg *page, records map[string]msgpack.RawMessage) bool {
 	raw, err := wire.Encode(records)
 	if err != nil {
@@ -303,67 +312,68 @@
 	return true
 }
 
-// Write sends what is due, several keys in one transaction, and one transaction
-// at a time.
-func (p *RecordTable) Write() {
-	if p.writing || p.store.now < p.pausedUntil {
+// Write sends the pages that are due, several in one transaction. It does nothing while
+// an earlier transaction is in flight.
+func (t *RecordTable) Write() {
+	if t.writeInFlight || t.store.now < t.pausedUntil {
 		return
 	}
 	urgent := false
-	for _, pg := range p.pages {
-		urgent = urgent || pg.urgent && len(pg.pending) > 0 && p.store.now >= pg.due
+	for _, pg := range t.pages {
+		urgent = urgent || pg.urgent && len(pg.pending) > 0 && t.store.now >= pg.due
 	}
-	w := &tableWrite{guards: map[string]bool{}}
-	for _, key := range slices.Sorted(maps.Keys(p.pages)) {
-		pg := p.pages[key]
-		if !p.mayWrite(pg, w, urgent) {
+	w := &tableWrite{guardedClasses: map[string]bool{}}
+	for _, key := range slices.Sorted(maps.Keys(t.pages)) {
+		pg := t.pages[key]
+		if !t.mayWrite(pg, w, urgent) {
 			continue
 		}
-		if split := p.addPage(w, pg); split {
-			break // it has the transaction for itself and its parts
+		if split := t.addPage(w, pg); split {
+			break // a transaction that splits a page takes no more pages
 		}
 	}
 	if len(w.pages) > 0 {
-		p.send(w, urgent)
+		t.send(w, urgent)
 	}
 }
 
-// mayWrite tells whether a page is due and fits the transaction. What nobody waits for goes
-// when changes are to spare, and alone. Guards against jobs whose records, and machines that,
-// waited behind it for minutes.
-func (p *RecordTable) mayWrite(pg *page, w *tableWrite, urgent bool) bool {
-	changes := len(w.txn.Then)
-	if len(pg.pending) == 0 || p.store.now < pg.due || changes >= p.store.MaxWrites() || w.size+pg.size > limits.PageTxn {
+// mayWrite reports whether a page is due, is owned by this node and fits into the
+// transaction. Pages that are not urgent go into separate transactions, and only when the
+// write budget has tokens to spare. Otherwise jobs and machines that need their records
+// stored would wait behind them for minutes.
+func (t *RecordTable) mayWrite(pg *page, w *tableWrite, urgent bool) bool {
+	writes := len(w.txn.Then)
+	if len(pg.pending) == 0 || t.store.now < pg.due || writes >= t.store.MaxWrites() || w.size+pg.size > limits.MaxPageTxnBytes {
 		return false
 	}
-	if urgent != pg.urgent || (!urgent && !p.store.CanSpare(changes+1)) {
+	if urgent != pg.urgent || (!urgent && !t.store.CanSpareWrites(writes+1)) {
 		return false
 	}
-	return p.guard(pg.class).Version != 0 // else it is not ours to write
+	return t.guard(pg.class).Version != 0 // 0: this node does not own the class
 }
 
-// addPage adds a page to the transaction, and what it holds beyond its room to other keys. It
-// tells whether it was split. Guards against a key that was filled under larger limits and
-// would be refused for ever.
-func (p *RecordTable) addPage(w *tableWrite, pg *page) (split bool) {
+// addPage adds a page to the transaction. Records that exceed the page's limit move to
+// other pages in the same transaction; addPage reports whether any did. Without such a
+// split, the state service would reject a page that was filled under larger limits for ever.
+func (t *RecordTable) addPage(w *tableWrite, pg *page) (split bool) {
 	records := pg.records()
 	var moved []movedPart
-	if pg.size > p.pageBytes && len(records) > 1 {
-		moved = p.split(pg, records)
-		changes := len(w.txn.Then)
-		if len(moved) > 0 && changes > 0 && changes+1+len(moved) > p.store.MaxWrites() {
-			return false // alone, next time
+	if pg.size > t.maxPageBytes && len(records) > 1 {
+		moved = t.split(pg, records)
+		writes := len(w.txn.Then)
+		if len(moved) > 0 && writes > 0 && writes+1+len(moved) > t.store.MaxWrites() {
+			return false // too large to share this transaction; written by a later one
 		}
-		moved = moved[:min(len(moved), max(0, p.store.MaxWrites()-1))]
+		moved = moved[:min(len(moved), max(0, t.store.MaxWrites()-1))]
 		for _, part := range moved {
 			for id := range part.records {
 				delete(records, id)
 			}
 		}
 	}
-	if !w.guards[pg.class] {
-		w.guards[pg.class] = true
-		w.txn.Guards = append(w.txn.Guards, p.guard(pg.class))
+	if !w.guardedClasses[pg.class] {
+		w.guardedClasses[pg.class] = true
+		w.txn.Guards = append(w.txn.Guards, t.guard(pg.class))
 	}
 	if !w.add(pg, records) {
 		return false
@@ -376,27 +386,29 @@
 	return len(moved) > 0
 }
 
-// send sends a transaction.
-func (p *RecordTable) send(w *tableWrite, urgent bool) {
-	prio := Progress
+// send queues the transaction and applies its result to the mirror.
+func (t *RecordTable) send(w *tableWrite, urgent bool) {
+	prio := PriorityProgress
 	if urgent {
-		prio = Records
-	}
-	p.writing = true
-	p.store.Txn(prio, limits.StoreTimeout, w.txn, func(r Reply) {
-		p.writing = false
-		var tr wire.TxnReply
-		if r.Status != OK || wire.Decode(r.Body, &tr) != nil {
-			// The mirror tells if it was carried out after all; what is pending stays.
-			p.pausedUntil = p.store.now + limits.StoreBackoff
+		prio = PriorityRecords
+	}
+	t.writeInFlight = true
+	t.store.Txn(prio, limits.StoreTimeout, w.txn, func(reply Reply) {
+		t.writeInFlight = false
+		var txnReply wire.TxnReply
+		if reply.Status != OK || wire.Decode(reply.Body, &txnReply) != nil {
+			// The transaction may have been executed all the same. Its records stay
+			// pending until they appear in the mirror.
+			t.pausedUntil = t.store.now + limits.StoreBackoff
 			for _, pg := range w.pages {
 				pg.urgent = pg.urgent || urgent
 			}
 			return
 		}
-		// Those that were moved to first: a record is never gone in between.
+		// The pages that records moved to come last in w.pages and are applied first, so
+		// that no moved record is missing in between.
 		for i := len(w.pages) - 1; i >= 0; i-- {
-			p.store.Mirror.Put(w.pages[i].key, w.txn.Then[i].Value.(msgpack.RawMessage), tr.Revision)
+			t.store.Mirror.Put(w.pages[i].key, w.txn.Then[i].Value.(msgpack.RawMessage), txnReply.Revision)
 		}
 	})
 }
--- a/internal/statestore/record_table_bench_test.go
+++ b/internal/statestore/record_table_bench_test.go
@@ -10,7 +10,7 @@
 	"umberpaddle/internal/wire"
 )
 
-// machineRecord is a record of about the size of a machine's in the controller.
+// machineRecord has about the size of the controller's record of a machine.
 type machineRecord struct {
 	Class string  `msgpack:"c"`
 	Zone  string  `msgpack:"z"`
@@ -19,33 +19,33 @@
 	Since float64 `msgpack:"t"`
 }
 
-// BenchmarkRecordWrites changes one record of a table that holds so many, and
-// carries the change to the state service and back: a write to the key-value
-// store, from the record's encoding to the mirror that learns of it. Records
-// share keys, so the cost is by change, not by transaction.
+// BenchmarkRecordWrites changes one record of a table with the given number of records
+// and measures the whole write, from encoding the record until the table has applied the
+// change from the mirror. Records share keys, so an operation is one changed record, not
+// one transaction.
 func BenchmarkRecordWrites(b *testing.B) {
 	for _, records := range []int{100, 800, 4000} {
 		b.Run(fmt.Sprint(records), func(b *testing.B) {
-			s := New(1e6, 1e6, 8, 4)
-			s.Mirror.Loaded, s.Mirror.requestInFlight = true, true // the benchmark plays the watch
-			p := NewRecordTable(s, "u/m/", func(string) wire.Guard { return wire.Guard{Key: "u/own/c", Version: 1} },
+			store := New(1e6, 1e6, 8, 4)
+			store.Mirror.Loaded, store.Mirror.requestInFlight = true, true // the benchmark takes the place of the watch
+			table := NewRecordTable(store, "u/m/", func(string) wire.Guard { return wire.Guard{Key: "u/own/c", Version: 1} },
 				func(string, string, msgpack.RawMessage, bool) {})
 			now, revision := time.Duration(0), uint64(1)
 			write := func(i int, up bool) {
-				p.Set("c", fmt.Sprintf("i-%06d", i), machineRecord{Class: "c", Zone: "a", Up: up, Since: float64(i)}, 0)
+				table.Set("c", fmt.Sprintf("i-%06d", i), machineRecord{Class: "c", Zone: "a", Up: up, Since: float64(i)}, 0)
 				now += time.Second
-				s.Tick(now)
-				p.Write()
-				for _, c := range s.Tick(now) {
+				store.Tick(now)
+				table.Write()
+				for _, c := range store.Tick(now) {
 					revision++
 					reply, err := wire.Encode(wire.TxnReply{Revision: revision})
 					if err != nil {
 						b.Fatal(err)
 					}
-					s.Reply(now, c.ID, 200, reply)
+					store.Reply(now, c.ID, 200, reply)
 				}
-				for _, change := range s.Mirror.TakeChanges() {
-					p.Apply(change)
+				for _, change := range store.Mirror.TakeChanges() {
+					table.Apply(change)
 				}
 			}
 			for i := 0; i < records; i++ {
--- a/internal/statestore/record_table_test.go
+++ b/internal/statestore/record_table_test.go
@@ -15,7 +15,7 @@
 	"umberpaddle/internal/wire"
 )
 
-// TestMain makes the drawn inputs the same in every run.
+// TestMain fixes the seed, so that every run draws the same inputs.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
@@ -23,96 +23,99 @@
 	os.Exit(m.Run())
 }
 
-// shelf is a pack at a state service that may lose answers.
-type shelf struct {
-	s       *Store
-	p       *RecordTable
-	now     time.Duration
-	known   map[string]string // as told to the pack's user
-	keys    map[string][]byte // as the state service has them
-	version map[string]uint64
-	rev     uint64
-	term    uint64
-	writes  int
-	limit   int // bytes of a value
+// tableHarness runs a record table against a simulated state service that may lose requests
+// and replies.
+type tableHarness struct {
+	store         *Store
+	table         *RecordTable
+	now           time.Duration
+	applied       map[string]string // records reported to the table's apply function, as CLASS:VALUE
+	stored        map[string][]byte // values stored in the state service
+	versions      map[string]uint64 // versions stored in the state service
+	revision      uint64            // of the state service
+	term          uint64            // version of the ownership guard; 0: not the owner
+	writes        int               // number of executed writes
+	maxValueBytes int               // most bytes of a value
 }
 
-func newShelf(t interface{ Fatalf(string, ...any) }) *shelf {
-	h := &shelf{s: New(1000, 1000, 8, 4), known: map[string]string{}, keys: map[string][]byte{}, version: map[string]uint64{}, rev: 10, term: 3, limit: 4096}
-	h.p = NewRecordTable(h.s, "u/x/", func(class string) wire.Guard { return wire.Guard{Key: "u/own/" + class, Version: h.term} },
-		func(id, class string, v msgpack.RawMessage, gone bool) {
-			var text string
-			if gone {
-				delete(h.known, id)
-			} else if err := wire.Decode(v, &text); err != nil {
-				t.Fatalf("%s: %v", id, err)
+func newTableHarness(t interface{ Fatalf(string, ...any) }) *tableHarness {
+	h := &tableHarness{store: New(1000, 1000, 8, 4), applied: map[string]string{}, stored: map[string][]byte{}, versions: map[string]uint64{}, revision: 10, term: 3, maxValueBytes: 4096}
+	h.table = NewRecordTable(h.store, "u/x/", func(class string) wire.Guard { return wire.Guard{Key: "u/own/" + class, Version: h.term} },
+		func(id, class string, raw msgpack.RawMessage, removed bool) {
+			var value string
+			if removed {
+				delete(h.applied, id)
+			} else if err := wire.Decode(raw, &value); err != nil {
+				t.Fatalf("decode record %s: %v", id, err)
 			} else {
-				h.known[id] = class + ":" + text
+				h.applied[id] = class + ":" + value
 			}
 		})
-	h.s.Mirror.Loaded, h.s.Mirror.requestInFlight = true, true // the test plays the watch
+	h.store.Mirror.Loaded, h.store.Mirror.requestInFlight = true, true // the harness takes the place of the watch
 	return h
 }
 
-// step lets time pass. fate says what becomes of a transaction: 0 it is answered,
-// 1 its answer is lost, 2 it is lost.
-func (h *shelf) step(t interface{ Fatalf(string, ...any) }, fate func() int) {
+// step advances the time and executes the transactions that the table sends. nextOutcome
+// returns the outcome of each: 0 executed and answered, 1 executed but the reply is lost,
+// 2 the request is lost.
+func (h *tableHarness) step(t interface{ Fatalf(string, ...any) }, nextOutcome func() int) {
 	h.now += 2 * time.Second
-	h.s.Tick(h.now)
-	h.p.Write()
-	for _, c := range h.s.Tick(h.now) {
+	h.store.Tick(h.now)
+	h.table.Write()
+	for _, c := range h.store.Tick(h.now) {
 		txn := c.Body.(wire.Txn)
-		if len(txn.Then) > h.s.TxnOps || len(txn.Guards) > 4*h.s.TxnOps {
-			t.Fatalf("%d changes and %d conditions", len(txn.Then), len(txn.Guards))
+		if len(txn.Then) > h.store.MaxTxnOps || len(txn.Guards) > 4*h.store.MaxTxnOps {
+			t.Fatalf("a transaction has %d writes and %d guards, more than is allowed", len(txn.Then), len(txn.Guards))
 		}
-		what := fate()
-		if what == 2 {
-			h.s.Reply(h.now, c.ID, 0, nil)
+		outcome := nextOutcome()
+		if outcome == 2 {
+			h.store.Reply(h.now, c.ID, 0, nil)
 			continue
 		}
 		failed := false
 		for _, g := range txn.Guards {
-			if g.Key != "u/own/c" && g.Key != "u/own/d" && h.version[g.Key] != g.Version {
+			if g.Key != "u/own/c" && g.Key != "u/own/d" && h.versions[g.Key] != g.Version {
 				failed = true
 			}
 		}
 		if failed {
-			h.s.Reply(h.now, c.ID, 409, nil)
+			h.store.Reply(h.now, c.ID, 409, nil)
 			continue
 		}
-		h.rev++
+		h.revision++
 		for _, op := range txn.Then {
 			h.writes++
 			raw := []byte(op.Value.(msgpack.RawMessage))
-			h.keys[op.Key], h.version[op.Key] = raw, h.rev
-			var v map[string]string
-			if err := wire.Decode(raw, &v); err != nil {
-				t.Fatalf("%v", err)
+			h.stored[op.Key], h.versions[op.Key] = raw, h.revision
+			var records map[string]string
+			if err := wire.Decode(raw, &records); err != nil {
+				t.Fatalf("decode a written page: %v", err)
 			}
-			if text, _ := json.Marshal(v); len(text) > h.limit {
-				t.Fatalf("%s has %d bytes", op.Key, len(text))
+			if text, _ := json.Marshal(records); len(text) > h.maxValueBytes {
+				t.Fatalf("%s has %d bytes in JSON, more than is allowed", op.Key, len(text))
 			}
 		}
-		if what == 0 {
-			raw, _ := wire.Encode(wire.TxnReply{Revision: h.rev})
-			h.s.Reply(h.now, c.ID, 200, raw)
+		if outcome == 0 {
+			raw, _ := wire.Encode(wire.TxnReply{Revision: h.revision})
+			h.store.Reply(h.now, c.ID, 200, raw)
 		} else {
-			h.s.Reply(h.now, c.ID, 0, nil)
+			h.store.Reply(h.now, c.ID, 0, nil)
 		}
 	}
-	for key, raw := range h.keys { // the watch
-		h.s.Mirror.Put(key, raw, h.version[key])
+	for key, raw := range h.stored { // in place of the watch
+		h.store.Mirror.Put(key, raw, h.versions[key])
 	}
-	for _, c := range h.s.Mirror.TakeChanges() {
-		h.p.Apply(c)
+	for _, c := range h.store.Mirror.TakeChanges() {
+		h.table.Apply(c)
 	}
 }
 
-// TestPackHoldsWhatWasWished: whatever becomes of the transactions, in the end the
-// state service has what was wished last, and the user was told of just that.
-func TestPackHoldsWhatWasWished(t *testing.T) {
+// TestRecordTableConvergesToLastValues guards against records that are lost, outdated or
+// left over after requests or replies of transactions were lost. Once transactions succeed
+// again, the table must have applied exactly the last requested values.
+func TestRecordTableConvergesToLastValues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := newShelf(t)
+		h := newTableHarness(t)
 		want := map[string]string{}
 		for i := rapid.IntRange(1, 60).Draw(t, "steps"); i > 0; i-- {
 			id := fmt.Sprintf("i-%06d", rapid.IntRange(0, 120).Draw(t, "id"))
@@ -121,11 +124,11 @@
 				class = "d"
 			}
 			if rapid.IntRange(0, 3).Draw(t, "what") == 0 {
-				h.p.Remove(id, 0)
+				h.table.Remove(id, 0)
 				delete(want, id)
 			} else {
 				text := fmt.Sprint(rapid.IntRange(0, 1<<40).Draw(t, "value"))
-				h.p.Set(class, id, text, time.Duration(rapid.IntRange(0, 1).Draw(t, "wait"))*time.Second)
+				h.table.Set(class, id, text, time.Duration(rapid.IntRange(0, 1).Draw(t, "wait"))*time.Second)
 				want[id] = class + ":" + text
 			}
 			if rapid.Bool().Draw(t, "step") {
@@ -135,22 +138,22 @@
 		for i := 0; i < 6; i++ {
 			h.step(t, func() int { return 0 })
 		}
-		if d := cmp.Diff(want, h.known); d != "" {
-			t.Fatalf("want, known: %s", d)
+		if d := cmp.Diff(want, h.applied); d != "" {
+			t.Fatalf("applied records differ (-want +got):\n%s", d)
 		}
 	})
 }
 
-// TestFullKeysAreSplit guards against a key that was filled under larger limits and is
-// refused for ever under smaller ones: what is too much moves to other keys, nothing is
-// lost or told as gone, and every write fits.
+// TestFullKeysAreSplit guards against a key that was filled under larger limits and would
+// be rejected for ever under smaller ones. The excess records must move to other keys, none
+// may be lost or reported as removed, and every write must fit the limits.
 func TestFullKeysAreSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := newShelf(t)
+		h := newTableHarness(t)
 		want := map[string]string{}
 		set := func(i int, text string) {
 			id := fmt.Sprintf("i-%06d", i)
-			h.p.Set("c", id, text, 0)
+			h.table.Set("c", id, text, 0)
 			want[id] = "c:" + text
 		}
 		records := rapid.IntRange(40, 200).Draw(t, "records")
@@ -160,11 +163,11 @@
 		for i := 0; i < 4; i++ {
 			h.step(t, func() int { return 0 })
 		}
-		h.p.pageBytes, h.s.TxnOps, h.limit = 768, 4, 1024
+		h.table.maxPageBytes, h.store.MaxTxnOps, h.maxValueBytes = 768, 4, 1024
 		for i := rapid.IntRange(1, 30).Draw(t, "steps"); i > 0; i-- {
 			if n := rapid.IntRange(0, 250).Draw(t, "id"); rapid.IntRange(0, 3).Draw(t, "what") == 0 {
 				id := fmt.Sprintf("i-%06d", n)
-				h.p.Remove(id, 0)
+				h.table.Remove(id, 0)
 				delete(want, id)
 			} else {
 				set(n, fmt.Sprint(rapid.IntRange(0, 1<<40).Draw(t, "value")))
@@ -176,61 +179,62 @@
 		for i := 0; i < 20; i++ {
 			h.step(t, func() int { return 0 })
 		}
-		if d := cmp.Diff(want, h.known); d != "" {
-			t.Fatalf("want, known: %s", d)
+		if d := cmp.Diff(want, h.applied); d != "" {
+			t.Fatalf("applied records differ (-want +got):\n%s", d)
 		}
 	})
 }
 
-// TestPackSparesChanges guards against a fleet that waits for minutes until each
+// TestRecordsShareKeys guards against a fleet that takes minutes to be stored because each
 // machine has a key of its own.
-func TestPackSparesChanges(t *testing.T) {
-	h := newShelf(t)
+func TestRecordsShareKeys(t *testing.T) {
+	h := newTableHarness(t)
 	for i := 0; i < 300; i++ {
-		h.p.Set("c", fmt.Sprintf("i-%06d", i), "a zone and a time", 0)
+		h.table.Set("c", fmt.Sprintf("i-%06d", i), "a zone and a time", 0)
 	}
 	for i := 0; i < 4; i++ {
 		h.step(t, func() int { return 0 })
 	}
-	if len(h.known) != 300 || h.writes > 12 {
-		t.Errorf("%d records known after %d changes", len(h.known), h.writes)
+	if len(h.applied) != 300 || h.writes > 12 {
+		t.Errorf("%d of 300 records applied after %d writes", len(h.applied), h.writes)
 	}
 }
 
-// TestPackOfAnotherOwnerIsNotWritten: without the claim nothing goes out, not even
-// under the condition that nobody has it.
-func TestPackOfAnotherOwnerIsNotWritten(t *testing.T) {
-	h := newShelf(t)
+// TestRecordsOfAnotherOwnerAreNotWritten guards against writes for a class that this node
+// does not own. Nothing may be written, not even under a guard with version 0, which holds
+// while no node owns the class.
+func TestRecordsOfAnotherOwnerAreNotWritten(t *testing.T) {
+	h := newTableHarness(t)
 	h.term = 0
-	h.p.Set("c", "i-1", "x", 0)
+	h.table.Set("c", "i-1", "x", 0)
 	h.step(t, func() int { return 0 })
 	if h.writes != 0 {
-		t.Error("written without a claim")
+		t.Error("a record was written without owning its class")
 	}
-	h.p.Forget("c")
+	h.table.DropPending("c")
 	h.term = 7
 	h.step(t, func() int { return 0 })
 	if h.writes != 0 {
-		t.Error("a forgotten wish was written")
+		t.Error("a dropped record was written")
 	}
 }
 
-// TestUsersGoBeforeBatches: what machines and done bits have used up must not make
-// a submission wait.
-func TestUsersGoBeforeBatches(t *testing.T) {
+// TestProgressLeavesTokensForUsers guards against submissions that wait because writes of
+// machine records and done bits have used up the write budget.
+func TestProgressLeavesTokensForUsers(t *testing.T) {
 	s := New(150, 20, 8, 4)
 	s.Mirror.requestInFlight = true
 	s.SetShare(0.2, 0.2)
 	s.Tick(time.Second)
 	for i := 0; i < 50; i++ {
-		s.Txn(Progress, 0, wire.Txn{Then: []wire.Op{{Key: "x"}}}, func(Reply) {})
+		s.Txn(PriorityProgress, 0, wire.Txn{Then: []wire.Op{{Key: "x"}}}, func(Reply) {})
 	}
 	for now := time.Second; now < 6*time.Second; now += 100 * time.Millisecond {
 		for _, c := range s.Tick(now) {
 			s.Reply(now, c.ID, 200, nil)
 		}
 	}
-	if w := s.WriteWait(User); w > 0 {
-		t.Errorf("a submission would wait for %v", w)
+	if w := s.WriteWait(PriorityUser); w > 0 {
+		t.Errorf("a submission would wait %v for the write budget", w)
 	}
 }
--- a/internal/statestore/store.go
+++ b/internal/statestore/store.go
@@ -1,6 +1,7 @@
-// Package statestore is this node's side of the state service: a queue of
-// requests under a budget, and a mirror of the watched keys. It is a pure state
-// machine: requests come out as Calls, answers go in through Reply.
+// Package statestore is a client of the state service. It queues requests under a
+// rate budget and mirrors the watched keys in memory. It is a pure state machine
+// without I/O: Store.Tick returns the Calls to make, and Store.Reply takes their
+// results.
 package statestore
 
 import (
@@ -13,31 +14,31 @@
 	"umberpaddle/internal/wire"
 )
 
-// Priority orders requests when the budget is short; lower goes first.
+// Priority orders requests when the budget is short. Lower values go first.
 type Priority int
 
-// Priorities, from the first served to the last.
+// Priorities, from the highest to the lowest.
 const (
-	Lease    Priority = iota // renewals and claims: without them nothing is allowed
-	User                     // submissions and cancellations
-	Records                  // jobs and machines that wait to be used, many to a change
-	Finish                   // completions
-	Query                    // questions about jobs: many go together while they wait
-	Progress                 // done bits, clean-up
-	priorities
+	PriorityLease    Priority = iota // lease renewals and ownership claims, without which the node may not act
+	PriorityUser                     // submissions and cancellations
+	PriorityRecords                  // records that a job or machine needs before it can be used; one write holds many
+	PriorityFinish                   // job completions
+	PriorityQuery                    // status queries: waiting queries are batched into one request
+	PriorityProgress                 // done bits, clean-up
+	priorityCount
 )
 
-// reserve is the part of the saved-up changes that a priority leaves to those
-// before it: otherwise a submission waits for what a batch has just used up.
-// requestReserve is the same for requests: guards against submissions that queue
-// behind the questions of users who ask many times as often.
+// writeReserve is the fraction of the write bucket that a priority leaves to higher
+// ones. Without it, a submission waits for tokens that a batch has just used up.
+// requestReserve is the same for the request bucket. Without it, submissions queue
+// behind status queries, which users send many times as often.
 var (
-	reserve        = [priorities]float64{Progress: limits.ProgressReserve}
-	requestReserve = [priorities]float64{Query: limits.QueryReserve}
+	writeReserve   = [priorityCount]float64{PriorityProgress: limits.ProgressReserve}
+	requestReserve = [priorityCount]float64{PriorityQuery: limits.QueryReserve}
 )
 
-// Status of an answer, beyond the HTTP codes: NoAnswer means the request may
-// have been executed, or may be executed later.
+// Values of Reply.Status: HTTP status codes, and NoAnswer. After NoAnswer, the
+// request may have been executed already, or may still be executed later.
 const (
 	NoAnswer   = 0
 	OK         = 200
@@ -46,38 +47,39 @@
 	Conflict   = 409
 )
 
-// Call is an HTTP request for the edge to make.
+// Call is an HTTP request that the caller of Store.Tick has to make.
 type Call struct {
 	ID      uint64
 	Method  string
 	Path    string
 	Body    any
-	Writes  int // puts and deletes that it asks for
+	Writes  int // number of puts and deletes
 	Timeout time.Duration
 }
 
-// IsWatch tells whether the call is a watch, which waits on purpose.
+// IsWatch reports whether the call is a watch. The service holds a watch open until a
+// key changes or the hold time ends, so a slow reply to it is normal.
 func (c Call) IsWatch() bool { return strings.HasPrefix(c.Path, "/watch") }
 
-// Reply is what came of a request.
+// Reply is the result of a request.
 type Reply struct {
 	Status int
 	Body   []byte
-	SentAt time.Duration // steady time at which the request left
-	Call   uint64        // the call that was answered; 0: the request never left
+	SentAt time.Duration // monotonic time at which the request was sent or dropped
+	CallID uint64        // ID of the answered call; 0: the request was never sent
 }
 
-// Refused tells that the request was certainly not executed.
+// Refused reports whether the request was rejected, so that it was certainly not executed.
 func (r Reply) Refused() bool { return r.Status == 503 || r.Status == 429 }
 
 type request struct {
-	prio   Priority
-	method string
-	path   string
-	body   any
-	writes int
-	until  time.Duration // dropped unsent after this
-	done   func(Reply)
+	prio     Priority
+	method   string
+	path     string
+	body     any
+	writes   int
+	deadline time.Duration // dropped unsent from this time on; 0: never
+	done     func(Reply)
 }
 
 type inFlight struct {
@@ -86,126 +88,134 @@
 	done func(Reply)
 }
 
-// tokenBucket is a token bucket on injected time.
+// tokenBucket limits the rate of requests or writes, per second. Callers pass in the time.
 type tokenBucket struct {
 	rate, level, capacity float64
-	last                  time.Duration
+	lastFill              time.Duration
 }
 
 func (b *tokenBucket) fill(now time.Duration) {
-	if now > b.last {
-		b.level = min(b.capacity, b.level+b.rate*(now-b.last).Seconds())
-		b.last = now
+	if now > b.lastFill {
+		b.level = min(b.capacity, b.level+b.rate*(now-b.lastFill).Seconds())
+		b.lastFill = now
 	}
 }
 
-// Store is the client's state.
+// Store is a client of the state service.
 type Store struct {
-	now           time.Duration
-	rps, writeRPS float64
-	reducedRate   float64       // changes a second that the service may go over to; 0: none
-	reducedUntil  time.Duration // until when next is held to
-	shares        [2]float64    // of requests and of changes that are this node's
-	requestBucket tokenBucket
-	writeBucket   tokenBucket
-	queues        [priorities][]*request
-	queued        int
-	inFlight      map[uint64]*inFlight
-	nextID        uint64
-	pausedUntil   time.Duration // no ordinary requests before this
-	savingUp      bool          // changes are saved up for a transaction of a higher priority
-	out           []Call
-	LastOK        time.Duration // when the last answered request was sent
-	LastFail      time.Duration
-	Mirror        *Mirror
-	TxnOps        int
-	TxnGuards     int
-	// ValueBytes is the most bytes of a value.
-	ValueBytes float64
+	now             time.Duration
+	rps, writeRPS   float64
+	reducedWriteRPS float64       // writes per second that the service may switch to; 0: none announced
+	reducedUntil    time.Duration // writes are limited to reducedWriteRPS until this time
+	shares          [2]float64    // this node's shares of the request budget and of the write budget
+	requestBucket   tokenBucket
+	writeBucket     tokenBucket
+	queues          [priorityCount][]*request
+	queued          int
+	inFlight        map[uint64]*inFlight
+	lastCallID      uint64
+	pausedUntil     time.Duration // of the queued requests, only PriorityLease is sent before this
+	savingTokens    bool          // write tokens are being saved for a transaction of a higher priority
+	outgoing        []Call
+	LastOK          time.Duration // when the newest successful call was sent; any answer but 429 and 503 counts
+	LastFail        time.Duration // when the newest failure was seen: no answer, or a 503
+	Mirror          *Mirror
+	MaxTxnOps       int // most puts and deletes in one transaction
+	MaxTxnGuards    int // most guards in one transaction
+	MaxValueBytes   float64
 }
 
-// New makes a client with the whole deployment's budget; Share sets its part.
+// New returns a client. rps and writeRPS are the budget of the whole deployment in
+// requests and in writes per second; SetShare sets the part that this node may use.
 func New(rps, writeRPS float64, txnOps int, valueKB float64) *Store {
-	s := &Store{rps: rps, writeRPS: writeRPS, inFlight: map[uint64]*inFlight{}, TxnOps: txnOps, TxnGuards: 4 * txnOps, ValueBytes: valueKB * 1024}
+	s := &Store{rps: rps, writeRPS: writeRPS, inFlight: map[uint64]*inFlight{}, MaxTxnOps: txnOps, MaxTxnGuards: 4 * txnOps, MaxValueBytes: valueKB * 1024}
 	s.SetShare(1.0/3, 1.0/3)
 	s.requestBucket.level, s.writeBucket.level = s.requestBucket.capacity, s.writeBucket.capacity
 	s.Mirror = newMirror(s)
 	return s
 }
 
-// AnnounceWriteRate tells of another budget of changes, for which the service may exchange the
-// present one at any moment. Whether it has shows when it refuses some.
-func (s *Store) AnnounceWriteRate(rate float64) { s.reducedRate = rate }
-
-// SetShare sets which parts of the budgets of requests and of changes this node may use.
-func (s *Store) SetShare(requests, changes float64) {
-	s.shares = [2]float64{requests, changes}
-	wps := s.writeRPS
-	if s.reducedRate > 0 && s.now < s.reducedUntil {
-		wps = min(wps, s.reducedRate)
+// AnnounceWriteRate sets a second write budget for the whole deployment, in writes per
+// second, that the service may switch to at any moment. The store limits writes to it
+// for limits.ReducedWriteRateHold after the service has rejected a write with 429.
+func (s *Store) AnnounceWriteRate(rate float64) { s.reducedWriteRPS = rate }
+
+// SetShare sets the fractions of the request budget and of the write budget that this
+// node may use.
+func (s *Store) SetShare(requestShare, writeShare float64) {
+	s.shares = [2]float64{requestShare, writeShare}
+	writeRate := s.writeRPS
+	if s.reducedWriteRPS > 0 && s.now < s.reducedUntil {
+		writeRate = min(writeRate, s.reducedWriteRPS)
 	}
-	s.requestBucket.rate = max(3, s.rps*requests*limits.BudgetUse)
-	s.writeBucket.rate = max(1, wps*changes*limits.BudgetUse)
-	// Bursts seldom come to all nodes at once, and the service allows a second's
-	// worth: a node may save up more than its part of that.
-	s.requestBucket.capacity = max(s.requestBucket.rate, s.rps*limits.BurstUse)
-	s.writeBucket.capacity = max(s.writeBucket.rate, wps*limits.BurstUse)
+	s.requestBucket.rate = max(3, s.rps*requestShare*limits.StoreBudgetUse)
+	s.writeBucket.rate = max(1, writeRate*writeShare*limits.StoreBudgetUse)
+	// The service allows bursts of one second's budget, and bursts seldom occur on
+	// all nodes at once, so a node may save up more than its share of a burst.
+	s.requestBucket.capacity = max(s.requestBucket.rate, s.rps*limits.StoreBurstUse)
+	s.writeBucket.capacity = max(s.writeBucket.rate, writeRate*limits.StoreBurstUse)
 }
 
-// MaxWrites is the most changes that one transaction of this node may hold, now and after
-// an announced change of the budget.
+// MaxWrites returns the largest number of writes that one transaction of this node may
+// hold. It allows for a switch to the announced write budget.
 func (s *Store) MaxWrites() int {
-	most := s.writeBucket.capacity
-	if s.reducedRate > 0 {
-		most = min(most, max(1, s.reducedRate*limits.BurstUse))
+	limit := s.writeBucket.capacity
+	if s.reducedWriteRPS > 0 {
+		limit = min(limit, max(1, s.reducedWriteRPS*limits.StoreBurstUse))
 	}
-	return max(1, min(s.TxnOps, int(most)))
+	return max(1, min(s.MaxTxnOps, int(limit)))
 }
 
-// Txn queues a transaction. wait bounds the time in the queue (0: no bound);
-// done gets a 503 when it runs out.
-func (s *Store) Txn(p Priority, wait time.Duration, t wire.Txn, done func(Reply)) {
-	s.add(&request{prio: p, method: "POST", path: "/multi", body: t, writes: len(t.Then), until: s.until(wait), done: done})
+// Txn queues a transaction. If it has not been sent after wait (0: no limit), it is
+// dropped and done receives a 503.
+func (s *Store) Txn(p Priority, wait time.Duration, txn wire.Txn, done func(Reply)) {
+	s.enqueue(&request{prio: p, method: "POST", path: "/multi", body: txn, writes: len(txn.Then), deadline: s.deadline(wait), done: done})
 }
 
-// Get queues the reading of a key.
+// Get queues a read of one key. wait and done are as for Txn.
 func (s *Store) Get(p Priority, wait time.Duration, key string, done func(Reply)) {
-	s.add(&request{prio: p, method: "GET", path: "/kv/" + key, until: s.until(wait), done: done})
+	s.enqueue(&request{prio: p, method: "GET", path: "/kv/" + key, deadline: s.deadline(wait), done: done})
 }
 
-// List queues the reading of one page of keys.
+// List queues a read of one page of the keys that start with prefix. The page starts
+// after the key since, or with the first key if since is empty.
 func (s *Store) List(p Priority, prefix, since string, done func(Reply)) {
-	q := fmt.Sprintf("/kv?starts=%s&page=%d", url.QueryEscape(prefix), limits.MirrorPage)
+	pathAndQuery := fmt.Sprintf("/kv?starts=%s&page=%d", url.QueryEscape(prefix), limits.MirrorPageSize)
 	if since != "" {
-		q += "&since=" + url.QueryEscape(since)
+		pathAndQuery += "&since=" + url.QueryEscape(since)
 	}
-	s.add(&request{prio: p, method: "GET", path: q, done: done})
+	s.enqueue(&request{prio: p, method: "GET", path: pathAndQuery, done: done})
 }
 
-// NewLease asks for a lease.
+// NewLease queues a request for a new lease.
 func (s *Store) NewLease(ttl time.Duration, done func(Reply)) {
-	s.add(&request{prio: Lease, method: "POST", path: "/leases", body: wire.LeaseRequest{TTLMs: ttl.Milliseconds()}, until: s.until(limits.StoreTimeout), done: done})
+	s.enqueue(&request{prio: PriorityLease, method: "POST", path: "/leases", body: wire.LeaseRequest{TTLMs: ttl.Milliseconds()}, deadline: s.deadline(limits.StoreTimeout), done: done})
 }
 
-// Renew renews a lease. It is never retried from the queue: a late renewal is worth less than a new one.
+// Renew queues a lease renewal. A renewal that has not been sent within
+// limits.RenewInterval is dropped, because a late renewal is worth less than a new one.
 func (s *Store) Renew(lease uint64, done func(Reply)) {
-	s.add(&request{prio: Lease, method: "POST", path: fmt.Sprintf("/leases/%d/renew", lease), until: s.until(limits.RenewInterval), done: done})
+	s.enqueue(&request{prio: PriorityLease, method: "POST", path: fmt.Sprintf("/leases/%d/renew", lease), deadline: s.deadline(limits.RenewInterval), done: done})
 }
 
-// EndLease ends a lease at once.
-func (s *Store) EndLease(lease uint64, done func(Reply)) {
-	s.add(&request{prio: Lease, method: "DELETE", path: fmt.Sprintf("/leases/%d", lease), until: s.until(limits.StoreTimeout), done: done})
+// RevokeLease queues a request that ends a lease before it expires.
+func (s *Store) RevokeLease(lease uint64, done func(Reply)) {
+	s.enqueue(&request{prio: PriorityLease, method: "DELETE", path: fmt.Sprintf("/leases/%d", lease), deadline: s.deadline(limits.StoreTimeout), done: done})
 }
 
-func (s *Store) until(wait time.Duration) time.Duration {
+// deadline returns the time from which a request is dropped if it is queued now and may
+// wait that long; 0: never.
+func (s *Store) deadline(wait time.Duration) time.Duration {
 	if wait == 0 {
 		return 0
 	}
 	return s.now + wait
 }
 
-func (s *Store) add(r *request) {
-	if s.queued >= limits.StoreQueue && r.prio != Lease {
+// enqueue queues a request. If the queue is full, any request but one of PriorityLease is
+// rejected with a 503.
+func (s *Store) enqueue(r *request) {
+	if s.queued >= limits.MaxStoreQueue && r.prio != PriorityLease {
 		r.done(Reply{Status: 503, SentAt: s.now})
 		return
 	}
@@ -213,12 +223,13 @@
 	s.queued++
 }
 
-// Advance lets time pass without doing anything about it. Guards against a node that
-// stood still for a moment: its renewal was dated back and dropped unsent as too old,
-// and the lease, which it could have saved, ended.
+// Advance sets the current time without sending or dropping any request. Without it,
+// a node that was suspended for a moment would queue its lease renewal with a time from
+// before the suspension, drop it unsent as too old, and lose a lease that it could have
+// kept.
 func (s *Store) Advance(now time.Duration) { s.now = max(s.now, now) }
 
-// Tick advances time and sends what the budget allows.
+// Tick advances the time and returns the calls to make now, as far as the budget allows.
 func (s *Store) Tick(now time.Duration) []Call {
 	if now > s.now {
 		s.now = now
@@ -226,35 +237,37 @@
 	s.requestBucket.fill(now)
 	s.writeBucket.fill(now)
 	s.Mirror.tick()
-	s.savingUp = false
+	s.savingTokens = false
 	for p := range s.queues {
 		s.sendQueued(Priority(p))
 	}
-	out := s.out
-	s.out = nil
-	return out
+	outgoing := s.outgoing
+	s.outgoing = nil
+	return outgoing
 }
 
+// sendQueued sends queued requests of one priority, in order, until the budget is used
+// up. It drops requests whose deadline has passed.
 func (s *Store) sendQueued(p Priority) {
-	q := s.queues[p]
-	kept := q[:0:0]
-	for i, r := range q {
-		if r.until != 0 && s.now >= r.until {
+	queue := s.queues[p]
+	remaining := queue[:0:0]
+	for i, r := range queue {
+		if r.deadline != 0 && s.now >= r.deadline {
 			s.queued--
 			r.done(Reply{Status: 503, SentAt: s.now})
 			continue
 		}
-		urgent := p == Lease
-		// A transaction larger than the burst could wait for ever: a full
-		// bucket lets it go and takes on the debt.
-		need := min(float64(r.writes)+s.writeBucket.capacity*reserve[p], s.writeBucket.capacity)
-		short := r.writes > 0 && (s.savingUp || s.writeBucket.level < need)
-		if !urgent && (s.now < s.pausedUntil || len(s.inFlight) >= limits.StoreInFlight || s.requestBucket.level < 1+s.requestBucket.capacity*requestReserve[p] || short) {
-			// Guards against records that hundreds of jobs and all new machines waited
-			// for: completions, one change each, took every change before the several
-			// that such a transaction needs had come together.
-			s.savingUp = s.savingUp || short && p != Progress
-			kept = append(kept, q[i:]...)
+		urgent := p == PriorityLease
+		// A transaction with more writes than the bucket holds would wait for ever.
+		// It goes when the bucket is full, and the level becomes negative.
+		needed := min(float64(r.writes)+s.writeBucket.capacity*writeReserve[p], s.writeBucket.capacity)
+		lacksTokens := r.writes > 0 && (s.savingTokens || s.writeBucket.level < needed)
+		if !urgent && (s.now < s.pausedUntil || len(s.inFlight) >= limits.MaxStoreInFlight || s.requestBucket.level < 1+s.requestBucket.capacity*requestReserve[p] || lacksTokens) {
+			// Without saving, completions with one write each take every token before
+			// enough are left for a transaction of records with several writes, and
+			// hundreds of jobs and all new machines wait for those records.
+			s.savingTokens = s.savingTokens || lacksTokens && p != PriorityProgress
+			remaining = append(remaining, queue[i:]...)
 			break
 		}
 		s.requestBucket.level--
@@ -262,21 +275,21 @@
 		s.queued--
 		s.send(r, limits.StoreTimeout)
 	}
-	// Callbacks may have queued more.
-	if added := s.queues[p][len(q):]; len(added) > 0 {
-		kept = append(kept, added...)
+	// The callbacks of dropped requests may have queued new ones.
+	if added := s.queues[p][len(queue):]; len(added) > 0 {
+		remaining = append(remaining, added...)
 	}
-	s.queues[p] = kept
+	s.queues[p] = remaining
 }
 
 func (s *Store) send(r *request, timeout time.Duration) {
-	s.nextID++
-	call := Call{ID: s.nextID, Method: r.method, Path: r.path, Body: r.body, Writes: r.writes, Timeout: timeout}
-	s.inFlight[s.nextID] = &inFlight{call: call, sent: s.now, done: r.done}
-	s.out = append(s.out, call)
+	s.lastCallID++
+	call := Call{ID: s.lastCallID, Method: r.method, Path: r.path, Body: r.body, Writes: r.writes, Timeout: timeout}
+	s.inFlight[s.lastCallID] = &inFlight{call: call, sent: s.now, done: r.done}
+	s.outgoing = append(s.outgoing, call)
 }
 
-// InFlight returns a call that is under way, and when it left.
+// InFlight returns a call that has not been answered yet, and when it was sent.
 func (s *Store) InFlight(id uint64) (call Call, sentAt time.Duration, ok bool) {
 	f, ok := s.inFlight[id]
 	if !ok {
@@ -285,7 +298,7 @@
 	return f.call, f.sent, true
 }
 
-// Reply hands over what came of a call: its status, 0 for no answer.
+// Reply records the result of a call. status is an HTTP status, or NoAnswer.
 func (s *Store) Reply(now time.Duration, id uint64, status int, body []byte) {
 	if now > s.now {
 		s.now = now
@@ -301,8 +314,8 @@
 		s.pausedUntil = s.now + limits.StoreBackoff
 	case status == 429:
 		s.pausedUntil = s.now + limits.StoreBackoff
-		if f.call.Writes > 0 && s.reducedRate > 0 {
-			s.reducedUntil = s.now + limits.SlowerFor
+		if f.call.Writes > 0 && s.reducedWriteRPS > 0 {
+			s.reducedUntil = s.now + limits.ReducedWriteRateHold
 			s.SetShare(s.shares[0], s.shares[1])
 		}
 	default:
@@ -310,38 +323,42 @@
 			s.LastOK = f.sent
 		}
 	}
-	f.done(Reply{Status: status, Body: body, SentAt: f.sent, Call: id})
+	f.done(Reply{Status: status, Body: body, SentAt: f.sent, CallID: id})
 }
 
-// LastCall is the number of the last call that has left; later ones have larger numbers.
-func (s *Store) LastCall() uint64 { return s.nextID }
+// LastCallID returns the ID of the newest call. IDs increase with every call.
+func (s *Store) LastCallID() uint64 { return s.lastCallID }
 
-// Unreachable tells that the state service has failed for a while: whoever needs
-// it should be told at once, and not after one more failure.
-func (s *Store) Unreachable() bool { return s.Down() && s.LastFail-s.LastOK > limits.DownAfter }
+// Unreachable reports whether the state service has failed for longer than
+// limits.StoreUnreachableAfter. Callers should then reject a user's request at once instead of
+// waiting for one more failure.
+func (s *Store) Unreachable() bool {
+	return s.Down() && s.LastFail-s.LastOK > limits.StoreUnreachableAfter
+}
 
-// WriteWait is how long one more change of a priority would wait for the budget.
-func (s *Store) WriteWait(p Priority) time.Duration {
-	n := 1 - s.writeBucket.level
-	for q := Lease; q <= p; q++ {
-		for _, r := range s.queues[q] {
-			n += float64(r.writes)
+// WriteWait returns how long one more write of a priority would wait for the write budget.
+func (s *Store) WriteWait(priority Priority) time.Duration {
+	missingTokens := 1 - s.writeBucket.level
+	for p := PriorityLease; p <= priority; p++ {
+		for _, r := range s.queues[p] {
+			missingTokens += float64(r.writes)
 		}
 	}
-	return limits.Seconds(max(0, n/s.writeBucket.rate))
+	return limits.Seconds(max(0, missingTokens/s.writeBucket.rate))
 }
 
-// CanSpare tells whether so many changes of the least priority could go now.
-func (s *Store) CanSpare(changes int) bool {
-	n := float64(changes)
+// CanSpareWrites reports whether that many more writes of the lowest priority could be
+// sent now, besides every write that is queued.
+func (s *Store) CanSpareWrites(more int) bool {
+	neededTokens := float64(more)
 	for p := range s.queues {
 		for _, r := range s.queues[p] {
-			n += float64(r.writes)
+			neededTokens += float64(r.writes)
 		}
 	}
-	return s.writeBucket.level >= min(n+s.writeBucket.capacity*reserve[Progress], s.writeBucket.capacity)
+	return s.writeBucket.level >= min(neededTokens+s.writeBucket.capacity*writeReserve[PriorityProgress], s.writeBucket.capacity)
 }
 
-// Down tells whether the state service seems out of reach: the newest failure
-// is newer than every success.
+// Down reports whether the state service seems unreachable: the newest failure came
+// after the newest successful call was sent.
 func (s *Store) Down() bool { return s.LastFail > s.LastOK && s.LastFail > 0 }
--- a/internal/wire/check.go
+++ b/internal/wire/check.go
@@ -9,12 +9,11 @@
 
 var errMalformed = errors.New("not a whole MessagePack value")
 
-// Check walks a MessagePack value without decoding it. It guards against small
-// bodies that announce huge or deeply nested maps: the decoder would make room
-// for all of it before it finds nothing there, and the process would end for
-// want of memory.
-func Check(b []byte) error {
-	rest, err := skip(b, 0)
+// CheckWellFormed checks the structure of a MessagePack value without decoding it. Without this
+// check, a small body that announces huge or deeply nested maps would make the decoder allocate
+// memory for all announced entries, and the process would run out of memory.
+func CheckWellFormed(b []byte) error {
+	rest, err := skipValue(b, 0)
 	if err != nil {
 		return err
 	}
@@ -24,69 +23,69 @@
 	return nil
 }
 
-// format is what the first byte of a value says of the rest.
-type format struct {
-	lengthBytes int    // how many bytes of length follow
-	length      uint64 // the length, if none follow
-	items       uint64 // values for each unit of length; 0: the length is in bytes
-	valid       bool
+// valueHeader is what the first byte of a value specifies about the rest.
+type valueHeader struct {
+	lengthBytes    int    // size of the length field that follows; 0: none follows
+	length         uint64 // number of entries or bytes, if no length field follows
+	valuesPerEntry uint64 // values per entry of a list or map; 0: the length is in bytes
+	valid          bool
 }
 
-// formatOf reads the first byte of a value.
-func formatOf(first byte) format {
+// parseHeader parses the first byte of a value.
+func parseHeader(first byte) valueHeader {
 	switch {
 	case first <= 0x7f || first >= 0xe0 || first == 0xc0 || first == 0xc2 || first == 0xc3:
-		return format{valid: true} // small numbers, null, booleans
+		return valueHeader{valid: true} // small integers, null, booleans
 	case first <= 0x8f:
-		return format{length: uint64(first & 0x0f), items: 2, valid: true} // small maps
+		return valueHeader{length: uint64(first & 0x0f), valuesPerEntry: 2, valid: true} // small maps
 	case first <= 0x9f:
-		return format{length: uint64(first & 0x0f), items: 1, valid: true} // small lists
+		return valueHeader{length: uint64(first & 0x0f), valuesPerEntry: 1, valid: true} // small lists
 	case first <= 0xbf:
-		return format{length: uint64(first & 0x1f), valid: true} // short texts
+		return valueHeader{length: uint64(first & 0x1f), valid: true} // short strings
 	case first >= 0xc4 && first <= 0xc6: // binary
-		return format{lengthBytes: 1 << (first - 0xc4), valid: true}
-	case first >= 0xd9 && first <= 0xdb: // texts
-		return format{lengthBytes: 1 << (first - 0xd9), valid: true}
-	case first == 0xca || first == 0xcb: // decimal numbers of 4 and 8 bytes
-		return format{length: 4 << (first - 0xca), valid: true}
-	case first >= 0xcc && first <= 0xcf: // whole numbers of 1 to 8 bytes
-		return format{length: 1 << (first - 0xcc), valid: true}
-	case first >= 0xd0 && first <= 0xd3: // signed ones
-		return format{length: 1 << (first - 0xd0), valid: true}
+		return valueHeader{lengthBytes: 1 << (first - 0xc4), valid: true}
+	case first >= 0xd9 && first <= 0xdb: // strings
+		return valueHeader{lengthBytes: 1 << (first - 0xd9), valid: true}
+	case first == 0xca || first == 0xcb: // floating-point numbers of 4 and 8 bytes
+		return valueHeader{length: 4 << (first - 0xca), valid: true}
+	case first >= 0xcc && first <= 0xcf: // unsigned integers of 1 to 8 bytes
+		return valueHeader{length: 1 << (first - 0xcc), valid: true}
+	case first >= 0xd0 && first <= 0xd3: // signed integers of 1 to 8 bytes
+		return valueHeader{length: 1 << (first - 0xd0), valid: true}
 	case first == 0xdc || first == 0xdd: // lists
-		return format{lengthBytes: 2 << (first - 0xdc), items: 1, valid: true}
+		return valueHeader{lengthBytes: 2 << (first - 0xdc), valuesPerEntry: 1, valid: true}
 	case first == 0xde || first == 0xdf: // maps
-		return format{lengthBytes: 2 << (first - 0xde), items: 2, valid: true}
+		return valueHeader{lengthBytes: 2 << (first - 0xde), valuesPerEntry: 2, valid: true}
 	}
-	return format{} // extensions are not in the protocol
+	return valueHeader{} // the protocol has no extension types
 }
 
-// skip passes over one value.
-func skip(b []byte, depth int) ([]byte, error) {
-	if len(b) == 0 || depth > limits.MaxDepth {
+// skipValue skips one value and returns the bytes after it.
+func skipValue(b []byte, depth int) ([]byte, error) {
+	if len(b) == 0 || depth > limits.MaxNestingDepth {
 		return nil, errMalformed
 	}
-	f := formatOf(b[0])
+	header := parseHeader(b[0])
 	b = b[1:]
-	if !f.valid || len(b) < f.lengthBytes {
+	if !header.valid || len(b) < header.lengthBytes {
 		return nil, errMalformed
 	}
-	if f.lengthBytes > 0 {
+	if header.lengthBytes > 0 {
 		var length [8]byte
-		copy(length[8-f.lengthBytes:], b[:f.lengthBytes])
-		f.length = binary.BigEndian.Uint64(length[:])
-		b = b[f.lengthBytes:]
+		copy(length[8-header.lengthBytes:], b[:header.lengthBytes])
+		header.length = binary.BigEndian.Uint64(length[:])
+		b = b[header.lengthBytes:]
 	}
-	// Every value takes a byte at least.
-	if f.length > uint64(len(b)) || f.items*f.length > uint64(len(b)) {
+	// Every value takes at least one byte.
+	if header.length > uint64(len(b)) || header.valuesPerEntry*header.length > uint64(len(b)) {
 		return nil, errMalformed
 	}
-	if f.items == 0 {
-		return b[f.length:], nil
+	if header.valuesPerEntry == 0 {
+		return b[header.length:], nil
 	}
 	var err error
-	for range f.items * f.length {
-		if b, err = skip(b, depth+1); err != nil {
+	for range header.valuesPerEntry * header.length {
+		if b, err = skipValue(b, depth+1); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/wire/fuzz_test.go
+++ b/internal/wire/fuzz_test.go
@@ -6,17 +6,17 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// addSeeds adds well-formed messages of every kind, and broken ones, to a fuzz test.
+// addSeeds adds well-formed and malformed messages to the seed corpus of a fuzz test.
 func addSeeds(f *testing.F) {
 	recall := 12.5
 	for _, message := range []any{
-		valid(),
+		validSubmission(),
 		Report{Machine: "i-000231", Address: "10.1.0.232:9000", Type: "g8", Zone: "a", Session: 1, Seq: 88, Token: 41, RecallS: &recall,
-			Tasks: []TaskReport{{Task: "job-000412/3", Attempt: 2, State: TaskGathering}, {Task: "job-000398/0", Attempt: 1, State: TaskEnded, Cause: CausePeers}}},
+			Tasks: []TaskReport{{Task: "job-000412/3", Attempt: 2, State: TaskGathering}, {Task: "job-000398/0", Attempt: 1, State: TaskEnded, Cause: CausePeerLost}}},
 		MachineTypes{Types: []MachineType{{Name: "g8", CPUs: 96, Zones: []string{"a", "b"}}}},
 		MachineList{Machines: []ListedMachine{{ID: "i-1", Status: MachineBooting, AgeS: 2}}},
-		Rows{Rows: []Row{{Key: "u/o/job-1", Value: msgpack.RawMessage{0x80}, Version: 3}}, Revision: 9},
-		Watched{Revision: 4, Events: []Event{{Put: "u/c/job-1", Value: msgpack.RawMessage{0xc3}}}},
+		KeyValuePage{Entries: []KeyValue{{Key: "u/o/job-1", Value: msgpack.RawMessage{0x80}, Version: 3}}, Revision: 9},
+		WatchReply{Revision: 4, Events: []Event{{Put: "u/c/job-1", Value: msgpack.RawMessage{0xc3}}}},
 		TxnReply{Revision: 432, Failed: []string{"a/b"}},
 	} {
 		body, err := Encode(message)
@@ -32,8 +32,8 @@
 	f.Add([]byte{0xc1})
 }
 
-// FuzzParseSubmission: whatever users send, a submission is refused or keeps the bounds that
-// records and amounts rely on.
+// FuzzParseSubmission checks that any input is either refused or parsed into a submission within the
+// bounds that records and resource computations rely on.
 func FuzzParseSubmission(f *testing.F) {
 	addSeeds(f)
 	f.Fuzz(func(t *testing.T, body []byte) {
@@ -48,26 +48,27 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var again Job
-		if err := Decode(record, &again); err != nil || again.ID != s.ID || again.Gang != s.Gang {
-			t.Fatalf("the record reads as %+v, %v", again, err)
+		var decoded Job
+		if err := Decode(record, &decoded); err != nil || decoded.ID != s.ID || decoded.Gang != s.Gang {
+			t.Fatalf("the record was decoded as %+v, error %v", decoded, err)
 		}
 	})
 }
 
-// FuzzDecode: hostile bytes are an error or a message, for every kind of message.
+// FuzzDecode checks, for every type of message, that any input is either rejected with an error or
+// decoded into a message that can be encoded again.
 func FuzzDecode(f *testing.F) {
 	addSeeds(f)
 	f.Fuzz(func(t *testing.T, body []byte) {
-		for _, message := range []any{&Report{}, &MachineTypes{}, &MachineList{}, &Machines{}, &Rows{}, &Watched{}, &TxnReply{}, &LeaseReply{}, &Job{}} {
+		for _, message := range []any{&Report{}, &MachineTypes{}, &MachineList{}, &MachineIDs{}, &KeyValuePage{}, &WatchReply{}, &TxnReply{}, &LeaseReply{}, &Job{}} {
 			if Decode(body, message) != nil {
 				continue
 			}
 			if _, err := Encode(message); err != nil {
-				t.Errorf("%T is decoded, but not encoded again: %v", message, err)
+				t.Errorf("%T was decoded, but encoding it again failed: %v", message, err)
 			}
 			if r, ok := message.(*Report); ok && r.Validate() == nil && r.Machine == "" {
-				t.Errorf("a report of no machine is valid: %+v", r)
+				t.Errorf("a report without a machine is valid: %+v", r)
 			}
 		}
 	})
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -16,7 +16,7 @@
 	formGang  = "gang"
 )
 
-// Urgency ranks.
+// Urgency levels, in ascending order.
 const (
 	UrgencyLow = iota
 	UrgencyStandard
@@ -24,91 +24,92 @@
 	UrgencyProduction
 )
 
-var urgencies = map[string]int{"production": UrgencyProduction, "urgent": UrgencyUrgent, "standard": UrgencyStandard, "low": UrgencyLow}
+var urgencyByName = map[string]int{"production": UrgencyProduction, "urgent": UrgencyUrgent, "standard": UrgencyStandard, "low": UrgencyLow}
 
-var jobID = regexp.MustCompile(`^job-[0-9]{1,18}$`)
+var jobIDPattern = regexp.MustCompile(`^job-[0-9]{1,18}$`)
 
-// ValidJobID tells whether id has the form of a job id.
-func ValidJobID(id string) bool { return jobID.MatchString(id) }
+// ValidJobID reports whether id has the form of a job ID.
+func ValidJobID(id string) bool { return jobIDPattern.MatchString(id) }
 
-// Job is a validated submission. It is also the record that the state service
-// keeps, so its fields have short names.
+// Job is a validated submission. It is also the record that is stored in the state service,
+// so the encoded names of its fields are short.
 type Job struct {
-	ID         string   `msgpack:"i"`
-	Class      string   `msgpack:"c,omitempty"`
-	Team       string   `msgpack:"t"`
-	Urgency    int      `msgpack:"u,omitempty"`
-	Tasks      int      `msgpack:"n"`
-	Gang       bool     `msgpack:"ga,omitempty"` // all tasks run together or none does
-	CPUs       float64  `msgpack:"p"`
-	GPUs       float64  `msgpack:"g,omitempty"`
-	MemoryGB   float64  `msgpack:"m"`
-	Image      string   `msgpack:"l,omitempty"`
-	ImageGB    float64  `msgpack:"lg,omitempty"`
-	Types      []string `msgpack:"b,omitempty"` // the types on which a task fits
-	Zone       string   `msgpack:"z,omitempty"`
-	OneZone    bool     `msgpack:"oz,omitempty"`
-	Spread     bool     `msgpack:"sp,omitempty"`
-	Spot       bool     `msgpack:"s,omitempty"`
-	EstimateS  float64  `msgpack:"e"`
-	CheckS     float64  `msgpack:"k,omitempty"`
-	SaveS      float64  `msgpack:"sv,omitempty"`
-	DeadlineS  float64  `msgpack:"d,omitempty"` // 0: none
-	SubmitUnix float64  `msgpack:"at"`          // time of day of acceptance, seconds
+	ID          string   `msgpack:"i"`
+	Class       string   `msgpack:"c,omitempty"`
+	Team        string   `msgpack:"t"`
+	Urgency     int      `msgpack:"u,omitempty"`
+	Tasks       int      `msgpack:"n"`
+	Gang        bool     `msgpack:"ga,omitempty"` // all tasks run at the same time, or none does
+	CPUs        float64  `msgpack:"p"`
+	GPUs        float64  `msgpack:"g,omitempty"`
+	MemoryGB    float64  `msgpack:"m"`
+	Image       string   `msgpack:"l,omitempty"`
+	ImageGB     float64  `msgpack:"lg,omitempty"`
+	Types       []string `msgpack:"b,omitempty"` // the machine types on which a task fits
+	Zone        string   `msgpack:"z,omitempty"`
+	OneZone     bool     `msgpack:"oz,omitempty"`
+	Spread      bool     `msgpack:"sp,omitempty"`
+	Spot        bool     `msgpack:"s,omitempty"`
+	EstimateS   float64  `msgpack:"e"`
+	CheckpointS float64  `msgpack:"k,omitempty"` // 0: the tasks save no checkpoints
+	SaveS       float64  `msgpack:"sv,omitempty"`
+	DeadlineS   float64  `msgpack:"d,omitempty"` // 0: none
+	SubmitUnix  float64  `msgpack:"at"`          // Unix time of acceptance, seconds
 }
 
-// Submission is a parsed submission before it meets the machine types.
+// Submission is a parsed submission whose machine types are not resolved yet: Job.Types is empty.
+// AllowedTypes are the types that the user listed; AnyType is set if there was no list.
 type Submission struct {
 	Job
-	AnyType bool
-	Listed  []string
+	AnyType      bool
+	AllowedTypes []string
 }
 
-// ParseSubmission checks the form of a submission. Its error is for the user. Only what
-// may be null may be left out. Guards against jobs that were accepted though they lacked
-// a field, and then ran as if it had been zero. With a good id, the submission comes
-// along with the error.
+// ParseSubmission decodes and validates a submission. Only fields that may be null may be left
+// out: otherwise a job that lacks a field would be accepted and run as if the field were zero.
+// The error is for the user. If only fields other than the ID are invalid, the submission is
+// returned together with the error.
 func ParseSubmission(body []byte) (*Submission, error) {
-	var m map[string]any
-	if err := Decode(body, &m); err != nil || m == nil {
+	var fields map[string]any
+	if err := Decode(body, &fields); err != nil || fields == nil {
 		return nil, fmt.Errorf("body is not a MessagePack map")
 	}
-	p := parser{m: m}
+	p := fieldParser{fields: fields}
 	s := &Submission{}
 	s.ID = p.text("id", true)
 	if p.err == nil && !ValidJobID(s.ID) {
 		return nil, fmt.Errorf("id: want the form job-000412")
 	}
-	s.Class = clip(p.text("docket", true))
+	s.Class = truncateText(p.text("docket", true))
 	s.Team = p.text("crew", true)
 	form := p.text("form", true)
 	if p.err == nil && form != formArray && form != formGang {
 		return s, fmt.Errorf("form: unknown value")
 	}
 	s.Gang = form == formGang
-	u := p.text("urgency", true)
-	rank, ok := urgencies[u]
+	urgencyName := p.text("urgency", true)
+	urgency, ok := urgencyByName[urgencyName]
 	if p.err == nil && !ok {
 		return s, fmt.Errorf("urgency: unknown value")
 	}
-	s.Urgency = rank
-	n := p.number("sheets", true)
-	if p.err == nil && (n != math.Trunc(n) || n < 1 || n > limits.MaxTasks) {
+	s.Urgency = urgency
+	tasks := p.number("sheets", true)
+	if p.err == nil && (tasks != math.Trunc(tasks) || tasks < 1 || tasks > limits.MaxTasks) {
 		return s, fmt.Errorf("sheets: want a whole number from 1 to %d", limits.MaxTasks)
 	}
-	s.Tasks = int(n)
+	s.Tasks = int(tasks)
 	s.CPUs = p.number("cores", true)
 	s.GPUs = p.number("accelerators", true)
 	s.MemoryGB = p.number("ramGb", true)
-	s.Image = clip(p.mayBeEmpty("plate"))
+	s.Image = truncateText(p.possiblyEmptyText("plate"))
 	s.ImageGB = p.number("imageGb", true)
-	s.Listed, s.AnyType = p.texts("builds")
+	s.AllowedTypes, s.AnyType = p.texts("builds")
 	s.Zone = p.text("valley", false)
 	s.OneZone = p.flag("oneZone")
 	s.Spread = p.flag("scatter")
 	s.Spot = p.flag("loaners")
 	s.EstimateS = p.number("reckonS", true)
-	s.CheckS = p.number("markS", true)
+	s.CheckpointS = p.number("markS", true)
 	s.SaveS = p.number("stowS", true)
 	s.DeadlineS = p.number("dueS", false)
 	if p.err != nil {
@@ -117,30 +118,30 @@
 	return s, nil
 }
 
-// clip shortens text that is only shown or compared, so that records stay small in the JSON
-// form in which the state service measures them. It guards against a text of control
-// characters that was six times as long there: the record was refused, and with it those
-// of other users in the same transaction.
-func clip(s string) string {
+// truncateText shortens text that is only displayed or compared to limits.MaxTextBytes in JSON,
+// the form in which the state service measures records. A text of control characters is six
+// times as long in JSON; without this limit, its record was refused, and with it the records of
+// other users in the same transaction.
+func truncateText(s string) string {
 	size := 0
 	for i, r := range s {
-		if size += escapedSize(string(r)); size > limits.MaxTextBytes {
+		if size += jsonTextBytes(string(r)); size > limits.MaxTextBytes {
 			return s[:i]
 		}
 	}
 	return s
 }
 
-// escapeSize is the length of one escape in JSON, such as \u0000.
-const escapeSize = 6
+// jsonEscapeBytes is the length of an escape sequence in JSON, such as \u0000.
+const jsonEscapeBytes = 6
 
-// escapedSize is the length of a text in JSON, where bytes that are not UTF-8, control
-// characters and a few others are written as escapes.
-func escapedSize(s string) int {
+// jsonTextBytes returns the length of a text in JSON, where bytes that are not UTF-8, control
+// characters and a few other characters are written as escape sequences.
+func jsonTextBytes(s string) int {
 	size := 0
 	for _, r := range s {
 		if r < 0x20 || r == utf8.RuneError || strings.ContainsRune("\"\\<>&\u2028\u2029\u007f", r) {
-			size += escapeSize
+			size += jsonEscapeBytes
 		} else {
 			size += utf8.RuneLen(r)
 		}
@@ -148,21 +149,24 @@
 	return size
 }
 
-type parser struct {
-	m   map[string]any
-	err error
+// fieldParser reads the fields of a submission. It keeps the first error.
+type fieldParser struct {
+	fields map[string]any
+	err    error
 }
 
-func (p *parser) fail(name, want string) {
+// fail records the error of a field, unless there is an earlier error.
+func (p *fieldParser) fail(name, want string) {
 	if p.err == nil {
 		p.err = fmt.Errorf("%s: %s", name, want)
 	}
 }
 
-func (p *parser) get(name string, must bool) (any, bool) {
-	v, ok := p.m[name]
+// get returns the value of a field and whether it is present. Null counts as absent.
+func (p *fieldParser) get(name string, required bool) (any, bool) {
+	v, ok := p.fields[name]
 	if !ok || v == nil {
-		if must {
+		if required {
 			p.fail(name, "missing")
 		}
 		return nil, false
@@ -170,20 +174,21 @@
 	return v, true
 }
 
-func (p *parser) text(name string, must bool) string {
-	v, ok := p.get(name, must)
+// text returns a text field. A required text must not be empty.
+func (p *fieldParser) text(name string, required bool) string {
+	v, ok := p.get(name, required)
 	if !ok {
 		return ""
 	}
 	s, ok := v.(string)
-	if !ok || (must && s == "") {
+	if !ok || (required && s == "") {
 		p.fail(name, "want text")
 	}
 	return s
 }
 
-// mayBeEmpty is text that must be there.
-func (p *parser) mayBeEmpty(name string) string {
+// possiblyEmptyText returns a required text field that may be empty.
+func (p *fieldParser) possiblyEmptyText(name string) string {
 	v, ok := p.get(name, true)
 	if !ok {
 		return ""
@@ -195,7 +200,8 @@
 	return s
 }
 
-func (p *parser) texts(name string) (list []string, absent bool) {
+// texts returns an optional list of texts, and whether it is absent.
+func (p *fieldParser) texts(name string) (list []string, absent bool) {
 	v, ok := p.get(name, false)
 	if !ok {
 		return nil, true
@@ -205,8 +211,8 @@
 		p.fail(name, "want a list of text")
 		return nil, false
 	}
-	for _, it := range items {
-		s, ok := it.(string)
+	for _, item := range items {
+		s, ok := item.(string)
 		if !ok {
 			p.fail(name, "want a list of text")
 			return nil, false
@@ -216,7 +222,7 @@
 	return list, false
 }
 
-func (p *parser) flag(name string) bool {
+func (p *fieldParser) flag(name string) bool {
 	v, ok := p.get(name, true)
 	if !ok {
 		return false
@@ -228,8 +234,8 @@
 	return b
 }
 
-func (p *parser) number(name string, must bool) float64 {
-	v, ok := p.get(name, must)
+func (p *fieldParser) number(name string, required bool) float64 {
+	v, ok := p.get(name, required)
 	if !ok {
 		return 0
 	}
@@ -241,7 +247,7 @@
 	return f
 }
 
-// AsFloat converts any decoded number.
+// AsFloat converts a decoded number of any type. It reports false for other values.
 func AsFloat(v any) (float64, bool) {
 	switch x := v.(type) {
 	case int8:
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,6 @@
-// Package wire holds the messages of the protocol: their names, encoding and
-// validation of form. The odd words of the wire live only here.
+// Package wire defines the messages of the protocol: their fields, encoding and
+// validation. The protocol's own names appear only here, in struct tags and in the parser of
+// submissions; Go names use the terms of the field.
 package wire
 
 import (
@@ -13,20 +14,20 @@
 	"umberpaddle/internal/limits"
 )
 
-// TaskState is where a task stands, as its worker reports it.
+// TaskState is the state of a task, as its worker reports it.
 type TaskState string
 
 // Task states.
 const (
 	TaskFetching TaskState = "fetching"
-	// TaskGathering is a gang task that waits for the others of its attempt.
+	// TaskGathering is the state of a gang task that waits for the other tasks of its attempt.
 	TaskGathering TaskState = "gathering"
 	TaskRunning   TaskState = "running"
 	TaskSaving    TaskState = "saving"
 	TaskEnded     TaskState = "ended"
 )
 
-// Cause tells why a task ended.
+// Cause is the reason why a task ended.
 type Cause string
 
 // Causes of a task's end.
@@ -37,20 +38,21 @@
 	CauseNoRoom Cause = "no_room"
 	CauseInUse  Cause = "in_use"
 	CauseNoSuch Cause = "no_such"
-	// CausePeers and CauseAlone end a gang task: another one is gone, or the gang was
-	// not complete in time.
-	CausePeers Cause = "peers"
-	CauseAlone Cause = "alone"
+	// CausePeerLost and CauseGangIncomplete are causes of gang tasks: another task of the gang
+	// ended or was lost, or the gang was not complete in time.
+	CausePeerLost       Cause = "peers"
+	CauseGangIncomplete Cause = "alone"
 )
 
-// Verb is what a command asks of a worker.
+// Verb is the action that a command requests.
 type Verb string
 
 // Verbs of commands.
 const (
 	VerbLaunch Verb = "launch"
 	VerbStop   Verb = "stop"
-	VerbClear  Verb = "clear"
+	// VerbClear removes an ended attempt from the worker's reports.
+	VerbClear Verb = "clear"
 )
 
 // JobState is a job's state as users see it.
@@ -64,7 +66,7 @@
 	StatusCancelled JobState = "cancelled"
 )
 
-// JobStatus answers users.
+// JobStatus is the reply to a user's request about a job. Done and Running are numbers of tasks.
 type JobStatus struct {
 	ID      string   `msgpack:"id"`
 	Status  JobState `msgpack:"status"`
@@ -72,12 +74,12 @@
 	Running int      `msgpack:"running"`
 }
 
-// ErrorBody explains a refusal.
+// ErrorBody is the body of a reply that refuses a request.
 type ErrorBody struct {
 	Error string `msgpack:"error"`
 }
 
-// TaskReport is one task of a report.
+// TaskReport describes one task in a report.
 type TaskReport struct {
 	Task    string    `msgpack:"sheet"`
 	Attempt uint64    `msgpack:"try"`
@@ -86,7 +88,8 @@
 	Saved   bool      `msgpack:"kept"`
 }
 
-// Report is what a worker sends.
+// Report is a worker's periodic report. Session and Seq number the worker's sessions and the
+// reports of a session; Token is a fencing token.
 type Report struct {
 	Machine string       `msgpack:"hut"`
 	Address string       `msgpack:"address"`
@@ -100,15 +103,16 @@
 	Tasks   []TaskReport `msgpack:"sheets"`
 }
 
-// Validate checks what decoding does not. It guards against reports whose texts would fit
-// no record: their machines could never be written down, nor what waits beside them.
+// Validate checks what decoding does not. A text that fits no record is invalid: without this
+// check, the machine's record could never be written, nor the records waiting for the same write.
 func (r *Report) Validate() error {
 	if r.Machine == "" {
 		return errors.New("hut: missing")
 	}
 	for _, field := range [...]struct{ name, text string }{{"hut", r.Machine}, {"address", r.Address}, {"build", r.Type}, {"valley", r.Zone}} {
-		// Hundreds of reports come each second: a short text needs no closer look.
-		if len(field.text) > limits.MaxTextBytes/escapeSize && escapedSize(field.text) > limits.MaxTextBytes {
+		// Hundreds of reports arrive each second, so texts that fit even if every byte is
+		// escaped are not scanned.
+		if len(field.text) > limits.MaxTextBytes/jsonEscapeBytes && jsonTextBytes(field.text) > limits.MaxTextBytes {
 			return fmt.Errorf("%s: longer than %d bytes", field.name, limits.MaxTextBytes)
 		}
 	}
@@ -118,7 +122,7 @@
 	return nil
 }
 
-// Command tells a worker what to do.
+// Command is an instruction to a worker.
 type Command struct {
 	Verb    Verb    `msgpack:"verb"`
 	Task    string  `msgpack:"sheet"`
@@ -126,25 +130,25 @@
 	GraceS  float64 `msgpack:"leewayS,omitempty"`
 }
 
-// ReportReply answers a report.
+// ReportReply is the owner's reply to a report.
 type ReportReply struct {
 	Token    uint64    `msgpack:"baton"`
 	Commands []Command `msgpack:"orders"`
 }
 
-// Orders is commands sent straight to a worker.
+// Orders holds commands that an owner sends straight to a worker, not in the reply to a report.
 type Orders struct {
 	Token    uint64    `msgpack:"baton"`
 	Session  uint64    `msgpack:"shift"`
 	Commands []Command `msgpack:"orders"`
 }
 
-// Redirect answers a report at the wrong node.
+// Redirect is the reply of a node that doesn't own the class of the reporting machine.
 type Redirect struct {
 	Owner string `msgpack:"steward,omitempty"`
 }
 
-// MachineType is one type that the cloud rents.
+// MachineType is a type of machine that the cloud rents out.
 type MachineType struct {
 	Name      string   `msgpack:"label"`
 	CPUs      float64  `msgpack:"cores"`
@@ -158,13 +162,13 @@
 	Zones     []string `msgpack:"valleys"`
 }
 
-// MachineTypes answers GET /machine_types.
+// MachineTypes is the reply to GET /machine_types.
 type MachineTypes struct {
 	Types []MachineType `msgpack:"builds"`
 }
 
-// Hire asks for machines; HireReply names them.
-type Hire struct {
+// RentalRequest asks the cloud for machines; the reply is MachineIDs.
+type RentalRequest struct {
 	Request string `msgpack:"hire"`
 	Type    string `msgpack:"build"`
 	Zone    string `msgpack:"valley"`
@@ -172,12 +176,12 @@
 	Count   int    `msgpack:"count"`
 }
 
-// Machines names machines, in a reply to Hire and in a deletion.
-type Machines struct {
+// MachineIDs lists machines, in a reply to RentalRequest and in a deletion.
+type MachineIDs struct {
 	Machines []string `msgpack:"huts"`
 }
 
-// ListedMachine is one entry of the cloud's list.
+// ListedMachine is one entry of the cloud's machine list.
 type ListedMachine struct {
 	ID      string        `msgpack:"id"`
 	Address string        `msgpack:"address"`
@@ -188,13 +192,13 @@
 	AgeS    float64       `msgpack:"ageS"`
 }
 
-// MachineList is one page of the cloud's list.
+// MachineList is one page of the cloud's machine list.
 type MachineList struct {
 	Machines []ListedMachine `msgpack:"huts"`
 	More     bool            `msgpack:"hasNext"`
 }
 
-// MachineStatus is what the cloud says of a machine.
+// MachineStatus is the status of a machine in the cloud's list.
 type MachineStatus string
 
 // Statuses of listed machines.
@@ -204,28 +208,28 @@
 	MachineFailed  MachineStatus = "failed"
 )
 
-// Row is a key of the state service.
-type Row struct {
+// KeyValue is a key of the state service with its value.
+type KeyValue struct {
 	Key     string             `msgpack:"path"`
 	Value   msgpack.RawMessage `msgpack:"v"`
 	Version uint64             `msgpack:"stamp"`
 	Lease   uint64             `msgpack:"permit"`
 }
 
-// Rows is one page of keys.
-type Rows struct {
-	Rows     []Row  `msgpack:"rows"`
-	More     bool   `msgpack:"hasNext"`
-	Revision uint64 `msgpack:"ledger"`
+// KeyValuePage is one page of keys with their values.
+type KeyValuePage struct {
+	Entries  []KeyValue `msgpack:"rows"`
+	More     bool       `msgpack:"hasNext"`
+	Revision uint64     `msgpack:"ledger"`
 }
 
-// Guard is a condition of a transaction.
+// Guard is a condition of a transaction: the version that a key must have.
 type Guard struct {
 	Key     string `msgpack:"path"`
 	Version uint64 `msgpack:"stamp"`
 }
 
-// Op is one change of a transaction: a put (Key) or a removal (Remove).
+// Op is one write of a transaction: a put (Key) or a removal (Remove).
 type Op struct {
 	Key    string `msgpack:"put,omitempty"`
 	Value  any    `msgpack:"v,omitempty"`
@@ -233,29 +237,29 @@
 	Remove string `msgpack:"remove,omitempty"`
 }
 
-// Txn is a transaction.
+// Txn is a transaction: its operations are applied only if all guards hold.
 type Txn struct {
 	Guards []Guard `msgpack:"guards"`
 	Then   []Op    `msgpack:"then,omitempty"`
 }
 
-// TxnReply answers a transaction.
+// TxnReply is the reply to a transaction.
 type TxnReply struct {
 	Revision uint64   `msgpack:"ledger"`
 	Failed   []string `msgpack:"failed"`
 }
 
-// LeaseRequest asks for a lease; LeaseReply names it.
+// LeaseRequest asks for a lease; the reply is LeaseReply.
 type LeaseRequest struct {
 	TTLMs int64 `msgpack:"ttlMs"`
 }
 
-// LeaseReply names a lease.
+// LeaseReply holds the number of a lease.
 type LeaseReply struct {
 	Lease uint64 `msgpack:"permit"`
 }
 
-// Event is one change that a watch tells.
+// Event is one change that a watch returns.
 type Event struct {
 	Put     string             `msgpack:"put"`
 	Remove  string             `msgpack:"remove"`
@@ -264,13 +268,13 @@
 	Lease   uint64             `msgpack:"permit"`
 }
 
-// Watched answers a watch.
-type Watched struct {
+// WatchReply is the reply to a watch.
+type WatchReply struct {
 	Revision uint64  `msgpack:"ledger"`
 	Events   []Event `msgpack:"news"`
 }
 
-// Encode writes a message.
+// Encode returns the MessagePack encoding of a message.
 func Encode(v any) ([]byte, error) {
 	var buf bytes.Buffer
 	enc := msgpack.NewEncoder(&buf)
@@ -281,14 +285,14 @@
 	return buf.Bytes(), nil
 }
 
-// Decode reads a message; a panic of the decoder on hostile bytes is an error.
+// Decode decodes a message. A panic of the decoder on malformed input is returned as an error.
 func Decode(b []byte, v any) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("decode %T: %v", v, p)
 		}
 	}()
-	if err := Check(b); err != nil {
+	if err := CheckWellFormed(b); err != nil {
 		return fmt.Errorf("decode %T: %w", v, err)
 	}
 	if err := msgpack.Unmarshal(b, v); err != nil {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -12,15 +12,15 @@
 	"umberpaddle/internal/limits"
 )
 
-func valid() map[string]any {
+func validSubmission() map[string]any {
 	return map[string]any{"id": "job-000412", "docket": "train", "crew": "vision", "form": "batch", "urgency": "urgent", "sheets": 16,
 		"cores": 8.0, "accelerators": 1, "ramGb": 64.0, "plate": "img-07", "imageGb": 6.2, "builds": []string{"g8"}, "valley": nil,
 		"oneZone": true, "scatter": false, "loaners": true, "reckonS": 240.0, "markS": 30.0, "stowS": 4.0, "dueS": 900.0, "news": "ignored"}
 }
 
-func parse(t *testing.T, m map[string]any) (*Submission, error) {
+func parseFields(t *testing.T, fields map[string]any) (*Submission, error) {
 	t.Helper()
-	b, err := Encode(m)
+	b, err := Encode(fields)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,59 +28,59 @@
 }
 
 func TestParseSubmission(t *testing.T) {
-	got, err := parse(t, valid())
+	got, err := parseFields(t, validSubmission())
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &Submission{Listed: []string{"g8"}, Job: Job{ID: "job-000412", Class: "train", Team: "vision", Urgency: 2, Tasks: 16, CPUs: 8, GPUs: 1,
-		MemoryGB: 64, Image: "img-07", ImageGB: 6.2, OneZone: true, Spot: true, EstimateS: 240, CheckS: 30, SaveS: 4, DeadlineS: 900}}
+	want := &Submission{AllowedTypes: []string{"g8"}, Job: Job{ID: "job-000412", Class: "train", Team: "vision", Urgency: 2, Tasks: 16, CPUs: 8, GPUs: 1,
+		MemoryGB: 64, Image: "img-07", ImageGB: 6.2, OneZone: true, Spot: true, EstimateS: 240, CheckpointS: 30, SaveS: 4, DeadlineS: 900}}
 	if d := cmp.Diff(want, got); d != "" {
 		t.Error(d)
 	}
 }
 
 func TestParseGang(t *testing.T) {
-	m := valid()
-	m["form"] = "gang"
-	if s, err := parse(t, m); err != nil || !s.Gang {
+	fields := validSubmission()
+	fields["form"] = "gang"
+	if s, err := parseFields(t, fields); err != nil || !s.Gang {
 		t.Errorf("got %+v, %v", s, err)
 	}
 }
 
-func TestParseSubmissionRefuses(t *testing.T) {
-	bad := map[string]any{"id": "job-x", "form": "choir", "urgency": "now", "sheets": 0, "cores": math.NaN(), "ramGb": -1.0,
+func TestParseSubmissionRejectsInvalid(t *testing.T) {
+	invalid := map[string]any{"id": "job-x", "form": "choir", "urgency": "now", "sheets": 0, "cores": math.NaN(), "ramGb": -1.0,
 		"reckonS": math.Inf(1), "crew": 7, "builds": "g8", "oneZone": "yes", "dueS": "soon", "plate": 3, "docket": nil}
-	for field, v := range bad {
-		m := valid()
-		m[field] = v
-		if _, err := parse(t, m); err == nil || !strings.HasPrefix(err.Error(), field) {
+	for field, v := range invalid {
+		fields := validSubmission()
+		fields[field] = v
+		if _, err := parseFields(t, fields); err == nil || !strings.HasPrefix(err.Error(), field) {
 			t.Errorf("%s=%v: got %v, want an error that names the field", field, v, err)
 		}
 	}
 	for _, field := range []string{"id", "docket", "crew", "form", "urgency", "sheets", "cores", "accelerators", "ramGb", "plate", "imageGb",
 		"oneZone", "scatter", "loaners", "reckonS", "markS", "stowS"} {
-		m := valid()
-		delete(m, field)
-		if _, err := parse(t, m); err == nil {
+		fields := validSubmission()
+		delete(fields, field)
+		if _, err := parseFields(t, fields); err == nil {
 			t.Errorf("without %s: accepted", field)
 		}
 	}
 	for _, field := range []string{"builds", "valley", "dueS"} { // these may be null
-		m := valid()
-		delete(m, field)
-		if _, err := parse(t, m); err != nil {
+		fields := validSubmission()
+		delete(fields, field)
+		if _, err := parseFields(t, fields); err != nil {
 			t.Errorf("without %s: %v", field, err)
 		}
 	}
 	for _, v := range []any{1.5, 100001, "16"} {
-		m := valid()
-		m["sheets"] = v
-		if _, err := parse(t, m); err == nil {
+		fields := validSubmission()
+		fields["sheets"] = v
+		if _, err := parseFields(t, fields); err == nil {
 			t.Errorf("sheets=%v: accepted", v)
 		}
 	}
-	// The last ones announce billions of entries in a few bytes: guards against
-	// a body of 40 bytes that took all memory.
+	// Some of these bodies announce billions of entries in a few bytes. Without the check of the
+	// structure, a body of 40 bytes used up all memory.
 	for _, b := range [][]byte{nil, {0xc1}, {0x93, 1, 2, 3}, {0xc0}, bytes.Repeat([]byte{0xdf}, 40), {0xdd, 0xff, 0xff, 0xff, 0xff}, bytes.Repeat([]byte{0x91}, 1000), {0x81, 0xa1, 'a'}} {
 		if _, err := ParseSubmission(b); err == nil {
 			t.Errorf("% x: accepted", b)
@@ -88,12 +88,12 @@
 	}
 }
 
-// TestLongTextsFitARecord guards against records larger than a value of the
-// state service may be: a submission may carry long names.
-func TestLongTextsFitARecord(t *testing.T) {
-	m := valid()
-	m["plate"], m["docket"] = strings.Repeat("p", 20000), strings.Repeat("d", 20000)
-	s, err := parse(t, m)
+// TestLongTextsFitRecord checks that a submission with long names results in a record that fits a
+// value of the state service.
+func TestLongTextsFitRecord(t *testing.T) {
+	fields := validSubmission()
+	fields["plate"], fields["docket"] = strings.Repeat("p", 20000), strings.Repeat("d", 20000)
+	s, err := parseFields(t, fields)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -102,8 +102,8 @@
 	}
 }
 
-// TestBytes pins the encoding of what workers receive and send.
-func TestBytes(t *testing.T) {
+// TestEncodedBytes checks the exact encoding of messages that workers receive and send.
+func TestEncodedBytes(t *testing.T) {
 	got, err := Encode(ReportReply{Token: 41, Commands: []Command{{Verb: VerbStop, Task: "job-1/0", Attempt: 2, GraceS: 10}}})
 	if err != nil {
 		t.Fatal(err)
@@ -122,32 +122,32 @@
 	}
 }
 
-func TestCheckTakesWhatTheEncoderMakes(t *testing.T) {
-	for _, v := range []any{valid(), []any{uint64(1 << 60), int64(-1 << 40), -5, 300, 70000, 1.5, float32(2), nil, true,
+func TestCheckAcceptsEncoderOutput(t *testing.T) {
+	for _, v := range []any{validSubmission(), []any{uint64(1 << 60), int64(-1 << 40), -5, 300, 70000, 1.5, float32(2), nil, true,
 		strings.Repeat("x", 20), strings.Repeat("x", 300), strings.Repeat("x", 70000)}, make([]int, 20), make([]int, 70000)} {
 		b, err := Encode(v)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := Check(b); err != nil {
+		if err := CheckWellFormed(b); err != nil {
 			t.Errorf("%T of %d bytes: %v", v, len(b), err)
 		}
-		if err := Check(b[:len(b)-1]); err == nil {
-			t.Errorf("%T of %d bytes cut short: taken", v, len(b))
+		if err := CheckWellFormed(b[:len(b)-1]); err == nil {
+			t.Errorf("%T of %d bytes without its last byte: accepted", v, len(b))
 		}
 	}
 }
 
-// TestTextsFitRecordsAsJSON: a text is cut by its length in the JSON form in which the state
-// service measures values.
-func TestTextsFitRecordsAsJSON(t *testing.T) {
+// TestTextsAreTruncatedByJSONLength checks that a text is truncated by its length in JSON, the form
+// in which the state service measures values.
+func TestTextsAreTruncatedByJSONLength(t *testing.T) {
 	for name, text := range map[string]string{
 		"plain": strings.Repeat("x", 1000), "control characters": strings.Repeat("\x01", 1000), "quotes": strings.Repeat(`"`, 1000),
 		"no UTF-8": strings.Repeat("\xff", 1000), "wide": strings.Repeat("ž", 1000),
 	} {
-		m := valid()
-		m["docket"] = text
-		s, err := parse(t, m)
+		fields := validSubmission()
+		fields["docket"] = text
+		s, err := parseFields(t, fields)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
@@ -156,18 +156,18 @@
 			t.Fatal(err)
 		}
 		if len(b)-2 > limits.MaxTextBytes || len(s.Class) < limits.MaxTextBytes/6-1 {
-			t.Errorf("%s: cut to %d bytes, %d in JSON", name, len(s.Class), len(b)-2)
+			t.Errorf("%s: truncated to %d bytes, %d in JSON", name, len(s.Class), len(b)-2)
 		}
 	}
 }
 
-func TestReportIsValidated(t *testing.T) {
+func TestReportValidation(t *testing.T) {
 	good := func() *Report { return &Report{Machine: "i-1", Address: "10.1.0.1:9000", Type: "g8", Zone: "a"} }
 	if err := good().Validate(); err != nil {
 		t.Error(err)
 	}
-	long, nan, inf, soon := strings.Repeat("x", 300), math.NaN(), math.Inf(1), -0.5
-	for name, spoil := range map[string]func(r *Report){
+	long, nan, inf, justPassed := strings.Repeat("x", 300), math.NaN(), math.Inf(1), -0.5
+	for name, invalidate := range map[string]func(r *Report){
 		"no machine":   func(r *Report) { r.Machine = "" },
 		"long machine": func(r *Report) { r.Machine = long },
 		"long address": func(r *Report) { r.Address = long },
@@ -177,14 +177,14 @@
 		"recall inf":   func(r *Report) { r.RecallS = &inf },
 	} {
 		r := good()
-		spoil(r)
+		invalidate(r)
 		if r.Validate() == nil {
-			t.Errorf("%s: valid", name)
+			t.Errorf("%s: accepted as valid", name)
 		}
 	}
 	r := good()
-	r.RecallS = &soon
+	r.RecallS = &justPassed
 	if err := r.Validate(); err != nil {
-		t.Errorf("a notice whose time has just passed: %v", err)
+		t.Errorf("a recall whose time has just passed: %v", err)
 	}
 }
--- a/internal/workers/machine.go
+++ b/internal/workers/machine.go
@@ -7,7 +7,7 @@
 	"umberpaddle/internal/wire"
 )
 
-// Machine is one worker's machine as its owner knows it.
+// Machine is the state of one worker's machine as recorded by the owner of its class.
 type Machine struct {
 	ID      string
 	Address string
@@ -15,63 +15,64 @@
 	Zone    string
 	Spot    bool
 
-	// Adopted: a report of the current session showed our term as the highest
-	// token, so its task list is all there is, and no older owner's command can
-	// be executed any more.
-	Adopted    bool
-	Term       uint64
-	Session    uint64
-	Seq        uint64
-	LastReport time.Duration // last report that counted
-	LastAnswer time.Duration // last report answered with 200: starts the lease anew
-	Lost       bool          // its lease is over: nothing is left on it
-	Deleting   bool          // the cloud was asked to delete it
-	Draining   bool          // gets no new tasks
-	Faulty     bool          // fails the tasks that it starts
-	Recall     time.Duration // when the cloud takes it away; 0: not announced
+	// Adopted means that a report of the current session named this owner's term as the highest
+	// fencing token that the worker has seen. Its task list is then complete, and the worker
+	// carries out no more commands of earlier owners.
+	Adopted      bool
+	Term         uint64        // this owner's term in which the machine's state was last updated
+	Session      uint64        // the worker's session
+	Seq          uint64        // sequence number of the newest report in the session
+	LastReport   time.Duration // time of the last accepted report, including those in replies to orders and probes
+	LastAnswer   time.Duration // time of the last answer with 200, which restarts the lease
+	LeaseExpired bool          // the lease has ended: no task is left on the machine
+	Deleting     bool          // the cloud was asked to delete the machine
+	Draining     bool          // receives no new tasks
+	Faulty       bool          // fails the tasks that it starts
+	RecallAt     time.Duration // when the cloud takes the machine away; 0: not announced
 
-	// DirectInFlight: an order sent straight to the worker is under way. Orders are those that
-	// launch tasks, by attempt, until it is certain that they do nothing more.
+	// DirectInFlight means that an order was sent directly to the worker and has no reply yet.
 	DirectInFlight bool
-	Orders         map[uint64]*Order
-	EndedTasks     map[string]bool // tasks with an ended attempt that is not cleared yet
+	// Orders holds the orders that launch tasks, by attempt, until it is certain that they have
+	// no further effect.
+	Orders     map[uint64]*Order
+	EndedTasks map[string]bool // tasks with an ended attempt that is not cleared yet
 
-	// Asked directly in its silence: when next, with which session, and whether the
-	// last question got no answer.
-	NextProbe    time.Duration
-	ProbeSession uint64
-	ProbeFailed  bool
-	FoundByProbe bool // its present session was found by asking, and has sent no report
+	// A machine that sends no reports is probed directly.
+	NextProbe    time.Duration // earliest time of the next probe
+	ProbeSession uint64        // session that the next probe names, if it is higher than Session
+	ProbeFailed  bool          // the last probe got no reply
+	FoundByProbe bool          // the current session was found by a probe and has sent no report yet
 
-	// NotFenced: its last report was refused, since it could not be shown our token.
+	// NotFenced means that the last report was refused, because the worker did not confirm this
+	// owner's fencing token in time.
 	NotFenced bool
 
-	reportSeq uint64 // of the last report; Seq may be that of an order's answer
+	lastReportSeq uint64 // sequence number of the last report; Seq may be that of a reply to an order
 
-	Tasks  []wire.TaskReport // as last reported
-	Images map[string]bool   // images of tasks placed here; true once one of them ran
+	Tasks  []wire.TaskReport // task list of the last Current report, or of a later reply to an order or a probe
+	Images map[string]bool   // images of tasks placed here; true once a task with the image ran
 
 	Failures map[string]int // failed tasks since the last success, by job
 }
 
-// recall follows the cloud's notices.
-func (m *Machine) recall(now time.Duration, r *wire.Report) {
-	if r.RecallS != nil {
-		at := now + limits.Seconds(*r.RecallS)
-		if m.Recall == 0 || at < m.Recall {
-			m.Recall = at
+// updateRecall updates RecallAt and Draining from the recall notice in a report.
+func (m *Machine) updateRecall(now time.Duration, report *wire.Report) {
+	if report.RecallS != nil {
+		at := now + limits.Seconds(*report.RecallS)
+		if m.RecallAt == 0 || at < m.RecallAt {
+			m.RecallAt = at
 		}
 		m.Draining = true
 	} else {
-		m.Recall = 0
+		m.RecallAt = 0
 	}
 }
 
-// Resolved tells whether it is known for certain what the machine holds.
-func (m *Machine) Resolved() bool { return m.Adopted || m.Lost }
+// Resolved reports whether it is known for certain which tasks the machine has.
+func (m *Machine) Resolved() bool { return m.Adopted || m.LeaseExpired }
 
-// Usable tells whether new tasks may be placed on the machine. One that is heard only
-// when it is asked loses them with its lease.
-func (m *Machine) Usable(now time.Duration, report time.Duration) bool {
-	return m.Adopted && !m.Lost && !m.Deleting && !m.Draining && now-m.LastReport < 3*report && now-m.LastAnswer < 3*report
+// Usable reports whether new tasks may be placed on the machine. A machine that only replies to
+// probes is not usable, because its tasks end with its lease.
+func (m *Machine) Usable(now time.Duration, reportInterval time.Duration) bool {
+	return m.Adopted && !m.LeaseExpired && !m.Deleting && !m.Draining && now-m.LastReport < 3*reportInterval && now-m.LastAnswer < 3*reportInterval
 }
--- a/internal/workers/pool.go
+++ b/internal/workers/pool.go
@@ -1,5 +1,5 @@
-// Package workers follows the workers: their reports, whether what they run is
-// known for certain, until when they may hold tasks, and what to tell them.
+// Package workers tracks the workers' machines: their reports, whether their tasks are known for
+// certain, when their leases end, and the orders sent directly to them.
 package workers
 
 import (
@@ -10,67 +10,70 @@
 	"umberpaddle/internal/limits"
 )
 
-// Pool is the slice's state.
+// Pool is the set of machines that a controller tracks.
 type Pool struct {
-	Lease    time.Duration
-	Report   time.Duration
-	Machines map[string]*Machine
-	sorted   []*Machine // nil: to be made anew
+	LeaseDuration  time.Duration
+	ReportInterval time.Duration
+	Machines       map[string]*Machine // by ID
+	sorted         []*Machine          // cached result of Sorted; nil: out of date
 }
 
-// New makes an empty pool.
+// New returns an empty pool for the given lease and report interval, in seconds.
 func New(leaseS, reportS float64) *Pool {
 	return &Pool{
-		Lease:    limits.Seconds(leaseS),
-		Report:   limits.Seconds(reportS),
-		Machines: map[string]*Machine{},
+		LeaseDuration:  limits.Seconds(leaseS),
+		ReportInterval: limits.Seconds(reportS),
+		Machines:       map[string]*Machine{},
 	}
 }
 
-// Sorted lists the machines by name, which is creation order: first-fit is
-// then the same on every run. The list stays as it is while the caller goes
-// through it, even if machines are dropped meanwhile.
+// Sorted returns the machines in the order of their IDs, which is the order of their creation.
+// First-fit placement therefore gives the same result in every run. The returned slice does not
+// change when machines are added or removed, so callers may do that while they iterate over it.
 func (p *Pool) Sorted() []*Machine {
 	if p.sorted == nil {
 		p.sorted = make([]*Machine, 0, len(p.Machines))
-		for _, m := range p.Machines {
-			p.sorted = append(p.sorted, m)
+		for _, machine := range p.Machines {
+			p.sorted = append(p.sorted, machine)
 		}
 		slices.SortFunc(p.sorted, func(a, b *Machine) int { return strings.Compare(a.ID, b.ID) })
 	}
 	return p.sorted
 }
 
-// Expect enters a machine that is known by other means than its report. What it
-// runs is unknown, and since is the latest time at which somebody may have
+// GetOrAdd returns the machine with the given ID, and adds it if the pool does not have it. The
+// tasks of an added machine are unknown. since is the latest time at which any controller may have
 // answered it.
-func (p *Pool) Expect(id, class, zone string, spot bool, since time.Duration) *Machine {
-	m := p.Machines[id]
-	if m == nil {
-		m = &Machine{ID: id, Class: class, Zone: zone, Spot: spot, LastAnswer: since, LastReport: since,
+func (p *Pool) GetOrAdd(id, class, zone string, spot bool, since time.Duration) *Machine {
+	machine := p.Machines[id]
+	if machine == nil {
+		machine = &Machine{ID: id, Class: class, Zone: zone, Spot: spot, LastAnswer: since, LastReport: since,
 			Images: map[string]bool{}, Failures: map[string]int{},
 			Orders: map[uint64]*Order{}, EndedTasks: map[string]bool{}}
-		p.Machines[id] = m
+		p.Machines[id] = machine
 		p.sorted = nil
 	}
-	return m
+	return machine
 }
 
-// Drop forgets a machine.
-func (p *Pool) Drop(id string) {
+// Remove removes a machine from the pool.
+func (p *Pool) Remove(id string) {
 	delete(p.Machines, id)
 	p.sorted = nil
 }
 
-// LeaseEnd is when a machine that was last answered at t holds nothing any more.
-func (p *Pool) LeaseEnd(t time.Duration) time.Duration {
-	return t + time.Duration(float64(p.Lease)*(1+limits.ClockDrift)) + limits.LeaseMargin
+// LeaseEnd returns the time from which a machine whose last report was answered at the given time
+// has no tasks any more. It allows for clock drift and adds limits.LeaseMargin.
+func (p *Pool) LeaseEnd(answered time.Duration) time.Duration {
+	return answered + time.Duration(float64(p.LeaseDuration)*(1+limits.ClockDrift)) + limits.LeaseMargin
 }
 
-// Expired tells whether the machine's lease is certainly over.
-func (p *Pool) Expired(m *Machine, now time.Duration) bool { return now > p.LeaseEnd(m.LastAnswer) }
+// Expired reports whether the machine's lease has ended for certain.
+func (p *Pool) Expired(machine *Machine, now time.Duration) bool {
+	return now > p.LeaseEnd(machine.LastAnswer)
+}
 
-// SilentFor is how long a machine may be silent before it is given up.
-func (p *Pool) SilentFor() time.Duration {
-	return max(limits.SilentFloor, min(limits.SilentReports*p.Report*5/4, p.Report*5/4+limits.SilentRetry))
+// MaxSilence returns how long a machine may send no reports before it is presumed dead.
+func (p *Pool) MaxSilence() time.Duration {
+	return max(limits.MinSilence, min(limits.MaxSilentReports*p.ReportInterval*5/4, p.ReportInterval*5/4+limits.ReportRetryTime))
 }
--- a/internal/workers/pool_test.go
+++ b/internal/workers/pool_test.go
@@ -7,65 +7,67 @@
 	"umberpaddle/internal/wire"
 )
 
-func report(session, seq, token uint64, tasks ...string) *wire.Report {
+// newReport returns a report of machine i-1 with the given running tasks.
+func newReport(session, seq, token uint64, tasks ...string) *wire.Report {
 	r := &wire.Report{Machine: "i-1", Type: "c", Session: session, Seq: seq, Token: token}
-	for _, t := range tasks {
-		r.Tasks = append(r.Tasks, wire.TaskReport{Task: t, Attempt: 1, State: wire.TaskRunning})
+	for _, task := range tasks {
+		r.Tasks = append(r.Tasks, wire.TaskReport{Task: task, Attempt: 1, State: wire.TaskRunning})
 	}
 	return r
 }
 
-func TestAdoptionAndOrderOfReports(t *testing.T) {
+func TestReportVerdicts(t *testing.T) {
 	p := New(14, 1.5)
 	steps := []struct {
 		name    string
-		r       *wire.Report
+		report  *wire.Report
 		term    uint64
 		want    Verdict
 		adopted bool
 		tasks   int
 	}{
-		{"an older token proves nothing yet", report(1, 5, 3, "j/0"), 7, Unproven, false, 0},
-		{"our token adopts", report(1, 6, 7, "j/0", "j/1"), 7, Current, true, 2},
-		{"a late report changes nothing", report(1, 5, 7), 7, Stale, true, 2},
-		{"the same report again changes nothing", report(1, 6, 7), 7, Stale, true, 2},
-		{"a new session counts although its number is lower", report(2, 1, 7), 7, Current, true, 0},
-		{"an earlier session does not", report(1, 99, 7, "j/0"), 7, Stale, true, 0},
-		{"a higher token deposes us", report(2, 2, 9), 7, Deposed, true, 0},
-		{"a new term of ours proves everything anew", report(2, 3, 9, "j/2"), 11, Unproven, false, 0},
-		{"until its token is shown", report(2, 4, 11, "j/2"), 11, Current, true, 1},
+		{"an older token proves nothing", newReport(1, 5, 3, "j/0"), 7, Unproven, false, 0},
+		{"the owner's token makes the report current", newReport(1, 6, 7, "j/0", "j/1"), 7, Current, true, 2},
+		{"a late report changes nothing", newReport(1, 5, 7), 7, Stale, true, 2},
+		{"the same report again changes nothing", newReport(1, 6, 7), 7, Stale, true, 2},
+		{"a report of a new session is used although its sequence number is lower", newReport(2, 1, 7), 7, Current, true, 0},
+		{"a report of an earlier session is not used", newReport(1, 99, 7, "j/0"), 7, Stale, true, 0},
+		{"a higher token deposes the owner", newReport(2, 2, 9), 7, Deposed, true, 0},
+		{"in a new term of the owner, an earlier token proves nothing", newReport(2, 3, 9, "j/2"), 11, Unproven, false, 0},
+		{"the new term's token makes the report current", newReport(2, 4, 11, "j/2"), 11, Current, true, 1},
 	}
-	for _, s := range steps {
-		m, v := p.Receive(time.Second, s.r, s.term, 0)
-		if v != s.want || m.Adopted != s.adopted || len(m.Tasks) != s.tasks {
-			t.Errorf("%s: verdict %v, adopted %v, %d tasks", s.name, v, m.Adopted, len(m.Tasks))
+	for _, step := range steps {
+		m, verdict := p.Receive(time.Second, step.report, step.term, 0)
+		if verdict != step.want || m.Adopted != step.adopted || len(m.Tasks) != step.tasks {
+			t.Errorf("%s: verdict %v, adopted %v, %d tasks", step.name, verdict, m.Adopted, len(m.Tasks))
 		}
 	}
 }
 
-// TestLeaseEndsNoSoonerThanTheWorkers: the worker counts from when it sent the
-// report, on a clock that may be slower by the drift.
-func TestLeaseEndsNoSoonerThanTheWorkers(t *testing.T) {
+// TestLeaseEndsNoSoonerThanOnWorker checks that the pool does not take a lease as ended while the
+// worker may still hold it. The worker counts the lease from when it sent the report, on a clock that
+// may be slower by the allowed drift.
+func TestLeaseEndsNoSoonerThanOnWorker(t *testing.T) {
 	p := New(14, 1.5)
-	m, _ := p.Receive(10*time.Second, report(1, 1, 7), 7, 0)
+	m, _ := p.Receive(10*time.Second, newReport(1, 1, 7), 7, 0)
 	if p.Expired(m, 10*time.Second+14*time.Second+7*time.Millisecond) {
-		t.Error("over although the worker may still hold its tasks")
+		t.Error("the lease has ended although the worker may still run its tasks")
 	}
 	if !p.Expired(m, 25*time.Second) {
-		t.Error("never over")
+		t.Error("the lease has not ended after 15 s")
 	}
-	if !m.Usable(12*time.Second, p.Report) || m.Usable(15*time.Second, p.Report) {
-		t.Error("usable while it reports, and not when it is silent")
+	if !m.Usable(12*time.Second, p.ReportInterval) || m.Usable(15*time.Second, p.ReportInterval) {
+		t.Error("the machine must be usable while it reports, and not when it has been silent for three report intervals")
 	}
 }
 
-func TestRecallDrains(t *testing.T) {
+func TestRecallDrainsMachine(t *testing.T) {
 	p := New(14, 1.5)
-	r := report(1, 1, 7)
-	s := 12.0
-	r.RecallS = &s
-	m, _ := p.Receive(10*time.Second, r, 7, 0)
-	if m.Recall != 22*time.Second || m.Usable(10*time.Second, p.Report) {
-		t.Errorf("recall %v, usable %v", m.Recall, m.Usable(10*time.Second, p.Report))
+	recalled := newReport(1, 1, 7)
+	recallS := 12.0
+	recalled.RecallS = &recallS
+	m, _ := p.Receive(10*time.Second, recalled, 7, 0)
+	if m.RecallAt != 22*time.Second || m.Usable(10*time.Second, p.ReportInterval) {
+		t.Errorf("recalled at %v, usable %v; want 22s and not usable", m.RecallAt, m.Usable(10*time.Second, p.ReportInterval))
 	}
 }
--- a/internal/workers/reports.go
+++ b/internal/workers/reports.go
@@ -6,19 +6,19 @@
 	"umberpaddle/internal/wire"
 )
 
-// Verdict tells what a report is worth.
+// Verdict is what a report proves about a machine, and whether this owner may answer it.
 type Verdict int
 
 // Verdicts.
 const (
-	Stale     Verdict = iota // older than one that was seen: not to be answered with 200
-	Deposed                  // it has seen a higher token than ours
-	Overtaken                // ours to answer, but its list is older than that of an order's answer
-	Unproven                 // ours to answer, but its list proves nothing yet: it has not seen our token
-	Current                  // its list is the truth about the machine
+	Stale     Verdict = iota // older than a report received before: must not be answered with 200
+	Deposed                  // the worker has seen a higher fencing token than this owner's
+	Overtaken                // may be answered, but its task list is older than that of an order's reply
+	Unproven                 // may be answered, but its task list may miss tasks: the worker has not seen this owner's token
+	Current                  // its task list is complete and up to date
 )
 
-// String names a verdict for logs.
+// String returns the verdict's name for logs.
 func (v Verdict) String() string {
 	switch v {
 	case Stale:
@@ -33,86 +33,91 @@
 	return "current"
 }
 
-// Receive judges a report for a class that we own with the given term. Only
-// Current reports change Tasks.
-func (p *Pool) Receive(now time.Duration, r *wire.Report, term uint64, since time.Duration) (*Machine, Verdict) {
-	m := p.Expect(r.Machine, r.Type, r.Zone, r.Spot, since)
-	if m.Term != term {
-		// A new term of ours: everything must be proved again.
-		m.Term, m.Adopted, m.Session, m.Seq, m.reportSeq = term, false, 0, 0, 0
+// Receive processes a report of a machine whose class this controller owns with the given
+// term, and returns the machine and the verdict. Only Current reports change Tasks. since is
+// the latest time at which an earlier owner may have answered the machine.
+func (p *Pool) Receive(now time.Duration, report *wire.Report, term uint64, since time.Duration) (*Machine, Verdict) {
+	machine := p.GetOrAdd(report.Machine, report.Type, report.Zone, report.Spot, since)
+	if machine.Term != term {
+		// This is a new term of this owner: nothing is proved in it yet.
+		machine.Term, machine.Adopted, machine.Session, machine.Seq, machine.lastReportSeq = term, false, 0, 0, 0
 	}
-	if r.Token > term {
-		return m, Deposed
+	if report.Token > term {
+		return machine, Deposed
 	}
-	// Messages may arrive late; (session, seq) orders them.
-	if r.Session < m.Session || (r.Session == m.Session && r.Seq <= m.reportSeq) {
-		return m, Stale
+	// Messages may arrive out of order; (session, sequence number) is the order in which they
+	// were sent.
+	if report.Session < machine.Session || (report.Session == machine.Session && report.Seq <= machine.lastReportSeq) {
+		return machine, Stale
 	}
-	if r.Session == m.Session && r.Seq <= m.Seq {
-		// Sent before the worker answered an order, and overtaken by that answer:
-		// it deserves its own, but its list is old.
-		m.reportSeq = r.Seq
-		m.LastReport, m.LastAnswer, m.Lost = now, now, false
-		return m, Overtaken
+	if report.Session == machine.Session && report.Seq <= machine.Seq {
+		// The worker sent this report before its reply to an order, which arrived first. The
+		// report still has to be answered, but its task list is out of date.
+		machine.lastReportSeq = report.Seq
+		machine.LastReport, machine.LastAnswer, machine.LeaseExpired = now, now, false
+		return machine, Overtaken
 	}
-	if r.Session != m.Session {
-		// Orders of an earlier session are refused from now on.
-		clear(m.Orders)
+	if report.Session != machine.Session {
+		// From now on the worker refuses orders that name an earlier session.
+		clear(machine.Orders)
 	}
-	m.reportSeq = r.Seq
-	m.Address, m.Class, m.Zone, m.Spot = r.Address, r.Type, r.Zone, r.Spot
-	m.Session, m.Seq = r.Session, r.Seq
-	m.LastReport, m.LastAnswer, m.Lost, m.ProbeFailed, m.FoundByProbe = now, now, false, false, false
-	m.recall(now, r)
-	if r.Token != term {
-		m.Adopted = false
-		return m, Unproven
+	machine.lastReportSeq = report.Seq
+	machine.Address, machine.Class, machine.Zone, machine.Spot = report.Address, report.Type, report.Zone, report.Spot
+	machine.Session, machine.Seq = report.Session, report.Seq
+	machine.LastReport, machine.LastAnswer, machine.LeaseExpired, machine.ProbeFailed, machine.FoundByProbe = now, now, false, false, false
+	machine.updateRecall(now, report)
+	if report.Token != term {
+		machine.Adopted = false
+		return machine, Unproven
 	}
-	m.Adopted = true
-	m.Tasks = r.Tasks
-	return m, Current
+	machine.Adopted = true
+	machine.Tasks = report.Tasks
+	return machine, Current
 }
 
-// ReceiveDirect takes in the report that answers an order; it tells whether it is
-// the newest and its list the truth. It does not renew the worker's lease.
-func (p *Pool) ReceiveDirect(now time.Duration, m *Machine, r *wire.Report) bool {
-	if !m.Adopted || m.Lost || r.Token != m.Term || r.Session != m.Session || r.Seq <= m.Seq {
+// ReceiveOrderReply processes the report in a worker's reply to an order. It reports whether
+// the report is the newest and its task list is complete; only then is the list used. It does
+// not renew the worker's lease.
+func (p *Pool) ReceiveOrderReply(now time.Duration, machine *Machine, report *wire.Report) bool {
+	if !machine.Adopted || machine.LeaseExpired || report.Token != machine.Term || report.Session != machine.Session || report.Seq <= machine.Seq {
 		return false
 	}
-	m.Seq, m.LastReport, m.Tasks = r.Seq, now, r.Tasks
-	m.recall(now, r)
+	machine.Seq, machine.LastReport, machine.Tasks = report.Seq, now, report.Tasks
+	machine.updateRecall(now, report)
 	return true
 }
 
-// ReceiveProbe takes in the report that answers a question under a term of ours. With
-// our term as its highest token and the session that was asked, its list is all
-// there is, as in Receive; it renews no lease. Otherwise it tells the session to ask
-// with. It tells whether the list counts.
-func (p *Pool) ReceiveProbe(now time.Duration, m *Machine, r *wire.Report, term, session uint64) bool {
-	if r.Token > term || m.Lost {
+// ReceiveProbeReply processes the report in a worker's reply to a probe that named the given
+// term of this owner and the given session. It reports whether the task list is complete and
+// used, as that of a Current report: this requires that term is the highest token that the
+// worker has seen, and that the session is the worker's. If the worker has not seen the token
+// or is in another session, ReceiveProbeReply records the session that the next probe has to
+// name. It does not renew the worker's lease.
+func (p *Pool) ReceiveProbeReply(now time.Duration, machine *Machine, report *wire.Report, term, session uint64) bool {
+	if report.Token > term || machine.LeaseExpired {
 		return false
 	}
-	m.ProbeFailed = false
-	if r.Token != term || r.Session != session {
-		m.ProbeSession, m.NextProbe = r.Session, now
+	machine.ProbeFailed = false
+	if report.Token != term || report.Session != session {
+		machine.ProbeSession, machine.NextProbe = report.Session, now
 		return false
 	}
-	if m.Term != term {
-		m.Term, m.Adopted, m.Session, m.Seq, m.reportSeq = term, false, 0, 0, 0
+	if machine.Term != term {
+		machine.Term, machine.Adopted, machine.Session, machine.Seq, machine.lastReportSeq = term, false, 0, 0, 0
 	}
-	if r.Session < m.Session || (r.Session == m.Session && r.Seq <= m.Seq) {
+	if report.Session < machine.Session || (report.Session == machine.Session && report.Seq <= machine.Seq) {
 		return false
 	}
-	if r.Session != m.Session {
-		clear(m.Orders)
-		m.reportSeq = 0
-		// A session that nobody answered yet may have begun at any time until now, and
-		// lasts for a lease. Guards against tasks that ran twice: a worker that reached
-		// no controller got them directly in its new session, and the old one's lease
-		// was taken for the end of it.
-		m.LastAnswer, m.FoundByProbe = now, true
+	if report.Session != machine.Session {
+		clear(machine.Orders)
+		machine.lastReportSeq = 0
+		// A session of which no report has been answered may have begun at any time up to now,
+		// and it lasts for one lease, so the lease is counted from now. Without this, tasks ran
+		// twice: a worker that reached no controller was sent tasks by direct orders in its new
+		// session, and these tasks were taken to end with the previous session's lease.
+		machine.LastAnswer, machine.FoundByProbe = now, true
 	}
-	m.Adopted, m.Session, m.Seq, m.LastReport, m.Tasks = true, r.Session, r.Seq, now, r.Tasks
-	m.recall(now, r)
+	machine.Adopted, machine.Session, machine.Seq, machine.LastReport, machine.Tasks = true, report.Session, report.Seq, now, report.Tasks
+	machine.updateRecall(now, report)
 	return true
 }
