--- a/internal/allocation/allocation.go
+++ b/internal/allocation/allocation.go
@@ -76,7 +76,7 @@
 type Team struct {
 	Name      string
 	Booked    map[string]Resources // by class
-	Unknown   Resources            // may be in use on machines of unknown state: counts toward the limit
+	Unknown   Resources            // may be in use by tasks whose location is unknown; counts toward the limits
 	MaxCPUs   float64              // limit; 0: none
 	MaxGPUs   float64              // limit; 0: none
 	Guarantee Resources            // Memory is ignored; zero: no guarantee
@@ -216,10 +216,10 @@
 // largest is the largest unit that unfinished jobs may request, by class: smaller units
 // avoid the machines that it needs. Run changes Free, Busy, Booked, Count and PlacedByZone.
 //
-// If a team's next unit fits on no machine, the team continues with its next job of another
-// shape; a team without such a job is skipped. Teams below their guarantee come before all
-// others (see rank): with the lowest share alone they could remain below it when capacity
-// is short.
+// If a team's next unit fits on no machine, the team continues with its next unit that may still
+// fit (see knownNotToFit); a team without such a unit is skipped. Teams below their guarantee
+// come before all others (see rank): if the lowest share alone decided, they could remain below
+// it when capacity is short.
 func Run(teams []*Team, machines []*Machine, capacity, largest map[string]Resources) []Placement {
 	var placements []Placement
 	var states []*teamState
@@ -261,8 +261,9 @@
 	return u.Shape != "" && !u.Gang && !u.Overdue && !u.OneZone && !u.Spread && len(u.ExcludedMachines) == 0
 }
 
-// knownNotToFit reports whether a unit of the same shape that needs no more than this one
-// has already fitted on no machine. failed lists the needs of such units by shape.
+// knownNotToFit reports whether a unit of the same shape that needs no more than this unit has
+// been found to fit on no machine. failed lists, by shape, the needs of the units that fitted on
+// no machine.
 func (u *Unit) knownNotToFit(failed map[string][]Resources) bool {
 	if !u.fitDependsOnShape() {
 		return false
--- a/internal/allocation/allocation_test.go
+++ b/internal/allocation/allocation_test.go
@@ -59,19 +59,19 @@
 		}
 	}
 	if countOf(placements, "b") != 2 {
-		t.Errorf("b got %d placements; want 2: its limit is 3 CPUs and 1 may be in use on machines of unknown state", countOf(placements, "b"))
+		t.Errorf("b got %d placements; want 2: its limit is 3 CPUs and 1 may be in use by tasks whose location is unknown", countOf(placements, "b"))
 	}
 }
 
-// TestTeamsWithoutGuaranteeUseWhatIsLeft checks that a team without a guarantee ("guest")
-// starts nothing while a team with a guarantee has units that fit, even if the guest's share
-// is lower. After that it uses all that is left.
+// TestTeamsWithoutGuaranteeUseWhatIsLeft checks that team guest, which has no guarantee, starts
+// nothing while a team with a guarantee has units that fit, even if the share of team guest is
+// lower. After that, team guest uses all that is left.
 func TestTeamsWithoutGuaranteeUseWhatIsLeft(t *testing.T) {
 	a := &Team{Name: "a", Booked: map[string]Resources{"c": {CPUs: 8}}, Guarantee: Resources{CPUs: 4}, Units: []*Unit{newUnit("ja", 3, 2)}}
 	guest := &Team{Name: "guest", Booked: map[string]Resources{}, Units: []*Unit{newUnit("jg", 1, 20)}}
 	placements := Run([]*Team{guest, a}, []*Machine{newMachine("m", 8)}, map[string]Resources{"c": {CPUs: 16, Memory: 100}}, nil)
 	if len(placements) != 4 || placements[0].Team != "a" || placements[1].Team != "a" || countOf(placements, "guest") != 2 {
-		t.Errorf("%d placements, %d of a and %d of the guest", len(placements), countOf(placements, "a"), countOf(placements, "guest"))
+		t.Errorf("%d placements, %d of team a and %d of team guest", len(placements), countOf(placements, "a"), countOf(placements, "guest"))
 	}
 }
 
@@ -83,7 +83,7 @@
 	guest.Units[1].LowPriority = true
 	placements := Run([]*Team{guest, a}, []*Machine{newMachine("m", 9)}, map[string]Resources{"c": {CPUs: 17, Memory: 100}}, nil)
 	if len(placements) != 5 || placements[0].Unit.Job != "jg" || placements[1].Team != "a" || placements[2].Team != "a" || countOf(placements, "guest") != 3 {
-		t.Errorf("%d placements, %d of a and %d of the guest", len(placements), countOf(placements, "a"), countOf(placements, "guest"))
+		t.Errorf("%d placements, %d of team a and %d of team guest", len(placements), countOf(placements, "a"), countOf(placements, "guest"))
 	}
 }
 
@@ -149,15 +149,15 @@
 		}
 		for _, preemption := range out {
 			preemptions++
-			owner := byName[preemption.Unit.Job[1:len(preemption.Unit.Job)-1]]
-			withinGuarantee := owner.Guarantee.CPUs > 0 && owner.total().CPUs+preemption.Unit.Need.CPUs <= owner.Guarantee.CPUs
+			preemptingTeam := byName[preemption.Unit.Job[1:len(preemption.Unit.Job)-1]]
+			withinGuarantee := preemptingTeam.Guarantee.CPUs > 0 && preemptingTeam.total().CPUs+preemption.Unit.Need.CPUs <= preemptingTeam.Guarantee.CPUs
 			free := preemption.Machine.Free
 			for _, victim := range preemption.Victims {
-				if victim.Team == owner.Name || preempted[victim.ID] || victim.Machine != preemption.Machine {
-					t.Fatalf("team %s preempts task %d of team %s: its own, preempted twice, or on another machine", owner.Name, victim.ID, victim.Team)
+				if victim.Team == preemptingTeam.Name || preempted[victim.ID] || victim.Machine != preemption.Machine {
+					t.Fatalf("team %s preempts task %d of team %s: its own, preempted twice, or on another machine", preemptingTeam.Name, victim.ID, victim.Team)
 				}
 				if !withinGuarantee && !(preemption.Unit.Urgent && victim.LowPriority) {
-					t.Fatalf("team %s preempts beyond its guarantee", owner.Name)
+					t.Fatalf("team %s preempts beyond its guarantee", preemptingTeam.Name)
 				}
 				if total[victim.Team] <= byName[victim.Team].Guarantee.CPUs {
 					t.Fatalf("a task of team %s is preempted although the team does not exceed its guarantee", victim.Team)
@@ -399,7 +399,7 @@
 func TestPreemptFreesResourcesForWholeGangs(t *testing.T) {
 	preempting := 0
 	rapid.Check(t, func(t *rapid.T) {
-		owner := &Team{Name: "owner", Booked: map[string]Resources{}, Guarantee: Resources{CPUs: float64(rapid.IntRange(8, 64).Draw(t, "guarantee"))}}
+		gangTeam := &Team{Name: "owner", Booked: map[string]Resources{}, Guarantee: Resources{CPUs: float64(rapid.IntRange(8, 64).Draw(t, "guarantee"))}}
 		borrowers := []*Team{
 			{Name: "guest", Booked: map[string]Resources{}},
 			{Name: "other", Booked: map[string]Resources{}, Guarantee: Resources{CPUs: float64(rapid.IntRange(8, 40).Draw(t, "other's guarantee"))}},
@@ -425,13 +425,13 @@
 		gang := newUnit("gang", float64(rapid.IntRange(1, 8).Draw(t, "need")), rapid.IntRange(2, 6).Draw(t, "count"))
 		gang.Gang, gang.OneZone = true, rapid.Bool().Draw(t, "one zone")
 		gang.PlacedByZone = map[string]int{}
-		owner.Units = []*Unit{gang}
-		preemptions := Preempt(append(borrowers, owner), machines, candidates, map[string]int{}, len(machines))
+		gangTeam.Units = []*Unit{gang}
+		preemptions := Preempt(append(borrowers, gangTeam), machines, candidates, map[string]int{}, len(machines))
 		if len(preemptions) == 0 {
 			return
 		}
 		preempting++
-		if gang.Need.CPUs*float64(gang.Count) > owner.Guarantee.CPUs+epsilon {
+		if gang.Need.CPUs*float64(gang.Count) > gangTeam.Guarantee.CPUs+epsilon {
 			t.Fatal("a gang beyond its team's guarantee preempts tasks")
 		}
 		fits, zones, preempted := 0, map[string]bool{}, map[int]bool{}
--- a/internal/allocation/placement.go
+++ b/internal/allocation/placement.go
@@ -101,9 +101,9 @@
 }
 
 // lastMachineIfBest returns the machine of the unit's previous task if it is still the best
-// choice, and otherwise nil. The machine now has less free resources than when pickMachine
-// chose it. As pickMachine prefers less free resources among equal ranks, the machine remains
-// its choice unless the machine's rank has dropped.
+// choice, and otherwise nil. The machine now has fewer free resources than when pickMachine
+// chose it. Among machines of equal rank, pickMachine prefers fewer free resources. The machine
+// therefore remains the best choice unless its rank has dropped.
 func (u *Unit) lastMachineIfBest(largest map[string]Resources) *Machine {
 	if machine := u.lastMachine; machine != nil && u.Need.Fits(machine.Free) && u.allows(machine) && u.rankMachine(machine, largest) >= u.lastRank {
 		return machine
@@ -130,13 +130,14 @@
 }
 
 // rankMachine returns how well a machine suits the unit. The criteria, most important first:
-//   - A unit with a start target does not wait for its image longer than the target allows.
+//   - A unit with a start target does not wait for its image longer than maxFetchFraction of
+//     the target.
 //   - A unit that prefers on-demand machines gets one.
-//   - No unit of the machine's class is much larger.
+//   - The largest unit of the machine's class is not much larger than this unit.
 //   - The machine can run as many of the class's largest unit as before. Otherwise, small
 //     units spread over large machines leave no room for the largest unit.
-//   - The image is present or being fetched: a fetch occupies the task's resources for as
-//     long as a short task runs.
+//   - The image is present or being fetched. A new fetch would occupy the task's resources for
+//     as long as a short task runs.
 //   - The machine is busy.
 func (u *Unit) rankMachine(m *Machine, largest map[string]Resources) int {
 	rank := 0
--- a/internal/allocation/preemption.go
+++ b/internal/allocation/preemption.go
@@ -7,7 +7,7 @@
 )
 
 // Preemptible is a running task that may be stopped to return its resources to other teams.
-// It loses nothing when it is stopped.
+// It saves its state before it stops, so its work is not lost.
 type Preemptible struct {
 	ID          int // assigned by the caller
 	Team        string
@@ -16,8 +16,8 @@
 	LowPriority bool // may be preempted by urgent units of other teams
 }
 
-// Preemption names the tasks to stop on a machine so that tasks of the unit fit there: one
-// task, or a part of a gang.
+// Preemption lists the victims, which are the tasks to stop on a machine so that one task of the
+// unit, or a part of a gang, fits there.
 type Preemption struct {
 	Unit    *Unit
 	Machine *Machine
@@ -26,8 +26,8 @@
 
 // Preempt chooses the tasks that teams must stop for other teams' units. It is called after
 // Run, which has placed what fits. A unit within its team's guarantee may preempt the tasks of
-// teams that exceed theirs (deployment page: what is borrowed must be returned). An urgent
-// unit may also preempt low-priority tasks of such teams when it is beyond its own team's
+// teams that exceed their guarantees (deployment page: what is borrowed must be returned). An
+// urgent unit may also preempt low-priority tasks of such teams when it is beyond its own team's
 // guarantee.
 //
 // pending is the number of tasks of each job for which resources are already being freed.
@@ -54,7 +54,7 @@
 	machines          []*Machine
 	candidateMachines []*Machine                 // machines with candidates at the start
 	candidateTeams    map[string]bool            // teams with candidates
-	candidates        map[*Machine][]Preemptible // by CPUs, largest first; without machines already chosen
+	candidates        map[*Machine][]Preemptible // sorted by CPUs, largest first; without machines already chosen
 	teamTotals        map[string]Resources       // total of each team, without the victims
 	guarantees        map[string]Resources       // by team
 	pending           map[string]int             // tasks for which resources are already being freed, by job
@@ -81,13 +81,13 @@
 	return p
 }
 
-// mayPreempt reports whether a task may be preempted in addition to tasks of its team that use
-// the resources taken.
+// mayPreempt reports whether a task may be preempted. taken is the resources of the victims that
+// are already chosen from the same team.
 type mayPreempt func(task Preemptible, taken Resources) bool
 
-// victimFilter returns which tasks a unit of the given team may preempt: tasks of other teams,
-// as long as their team still exceeds its guarantee. A unit that is not within its own team's
-// guarantee may preempt only low-priority tasks.
+// victimFilter returns the condition under which a unit of the given team may preempt a task: the
+// task belongs to another team, and that team still exceeds its guarantee. A unit that is not
+// within its own team's guarantee may preempt only low-priority tasks.
 func (p *preemptor) victimFilter(team string, withinGuarantee bool) mayPreempt {
 	return func(task Preemptible, taken Resources) bool {
 		guarantee, remaining := p.guarantees[task.Team], p.teamTotals[task.Team].Add(taken, -1)
@@ -147,7 +147,7 @@
 		return total // the first gang is served however many machines it needs
 	}
 	for _, chosen := range preemptions {
-		chosen.Machine.Reserve(u.Job) // other units' preemptions must not use its resources
+		chosen.Machine.Reserve(u.Job) // preemptions for other units must not use its resources
 		p.add(chosen)
 	}
 	return total
@@ -191,7 +191,7 @@
 }
 
 // nextVictims returns the tasks to preempt so that at least one more task of the gang fits, and
-// their cost in CPUs. taken is what is preempted already, by team.
+// their cost in CPUs. taken is the resources of the victims already chosen, by team.
 func (g *gangMachine) nextVictims(need Resources, taken map[string]Resources, may mayPreempt) (victims []Preemptible, cost float64, ok bool) {
 	free, takenHere := g.free, map[string]Resources{}
 	for _, task := range g.remaining {
--- a/internal/allocation/reservation.go
+++ b/internal/allocation/reservation.go
@@ -6,9 +6,10 @@
 )
 
 // ReserveForOverdue reserves, for each overdue unit that fits on no machine, the machine that
-// comes closest to fitting it. Without the reservation, small units would use each piece of
-// the machine as soon as it becomes free. Once maxMachines machines are reserved, no further
-// unit gets a reservation. ReserveForOverdue returns the IDs of the reserved machines.
+// comes closest to fitting it; for a gang, several machines. Without the reservation, small units
+// would use each piece of the machine as soon as it becomes free. Once maxMachines machines are
+// reserved, no further unit gets a reservation. ReserveForOverdue returns the IDs of the reserved
+// machines.
 func ReserveForOverdue(teams []*Team, machines []*Machine, maxMachines int) map[string]bool {
 	reserved, gangReserved := map[string]bool{}, false
 	for _, team := range teams {
--- a/internal/allocation/resources.go
+++ b/internal/allocation/resources.go
@@ -18,7 +18,8 @@
 	return Resources{a.CPUs + n*b.CPUs, a.GPUs + n*b.GPUs, a.Memory + n*b.Memory}
 }
 
-// fractionIn returns the fraction of a that is available in b, for the scarcest resource.
+// fractionIn returns the fraction of a that is available in b, for the resource for which this
+// fraction is smallest.
 func (a Resources) fractionIn(b Resources) float64 {
 	fraction := math.Inf(1)
 	for _, amounts := range [][2]float64{{a.CPUs, b.CPUs}, {a.GPUs, b.GPUs}, {a.Memory, b.Memory}} {
--- a/internal/authority/renewal.go
+++ b/internal/authority/renewal.go
@@ -2,10 +2,10 @@
 // returns the reason for each decision. It is pure: the time, the controller's information and the
 // age of that information are inputs.
 //
-// Its first decision is whether a worker's report may be answered with 200. Such an answer renews
+// The package decides whether a worker's heartbeat may be answered with 200. Such an answer renews
 // the worker's lease, and every task on the machine may run until that lease ends, even if the
 // machine hangs or receives nothing more. So the answer must stop every cancelled task that the
-// machine lists. If an order may still start a cancelled task, the answer must leave early enough
+// machine lists. If an order may still start a cancelled task, the answer must be sent early enough
 // for the lease to end within the time allowed for a cancellation. Orders of earlier owners can be
 // invalidated: a worker that has seen this owner's fencing token refuses them.
 package authority
@@ -26,8 +26,8 @@
 // String returns the attempt as it appears in logs.
 func (a Attempt) String() string { return fmt.Sprintf("%s attempt %d", a.Task, a.Number) }
 
-// PossibleStart is an attempt of a cancelled task that is not on the machine, but that an order
-// which was sent and not yet answered may still start.
+// PossibleStart is an attempt of a cancelled task. The attempt is not on the machine, but an order
+// that was sent and not yet answered may still start it.
 type PossibleStart struct {
 	Attempt
 	// ConfirmedAfter is the earliest time at which the cancellation can have been confirmed to a
@@ -44,13 +44,13 @@
 	ConfirmedAfter time.Duration
 }
 
-// RenewalInput is the information on which a controller decides whether to answer a report with 200.
+// RenewalInput is the information on which a controller decides whether to answer a heartbeat with 200.
 type RenewalInput struct {
 	Now time.Duration
 	// AnswerDeadline is the time from which the controller may not answer workers at all.
 	AnswerDeadline time.Duration
-	// MaxStaleness is how long after the confirmation of a cancellation a worker that may run the
-	// job's tasks can last be renewed, so that its lease still ends in time.
+	// MaxStaleness is the longest time after the confirmation of a cancellation at which a worker
+	// that may run the job's tasks may still be renewed. Its lease then ends in time.
 	MaxStaleness time.Duration
 	// MustStop are the attempts on the machine that must end: attempts of cancelled jobs and of
 	// jobs unknown to the controller.
@@ -86,16 +86,17 @@
 	Deadline time.Duration
 	// Stops are the commands that the answer must carry.
 	Stops []wire.Command
-	// Cause is the attempt because of which the renewal is withheld or its deadline shortened.
+	// Cause is the attempt because of which the renewal is withheld or its deadline shortened. It is
+	// empty if there is no such attempt.
 	Cause Attempt
-	// CauseJob is set instead of Cause if the reason is an earlier owner's order: the job of that
-	// order.
+	// CauseJob is the job of the earlier owner's order because of which the renewal is withheld or
+	// its deadline shortened. If it is set, Cause is empty.
 	CauseJob string
 }
 
 // RenewalPolicy decides about renewals and checks the answers built from its decisions.
 type RenewalPolicy interface {
-	// DecideRenewal returns whether a report may be answered with 200, by when, and with which
+	// DecideRenewal returns whether a heartbeat may be answered with 200, by when, and with which
 	// stop commands.
 	DecideRenewal(RenewalInput) Decision
 	// CheckAnswer checks the commands of an answer just before it is sent.
@@ -152,7 +153,7 @@
 }
 
 // CheckAnswer implements RenewalPolicy. It returns an error if the deadline set by an earlier owner's
-// order has passed, or if the answer leaves an attempt that must end unstopped or launches it again.
+// order has passed, or if the answer does not stop an attempt that must end or launches it again.
 func (Rules) CheckAnswer(input RenewalInput, commands []wire.Command) error {
 	for _, order := range input.EarlierOrders {
 		if input.Now >= order.ConfirmedAfter+input.MaxStaleness {
--- a/internal/authority/renewal_test.go
+++ b/internal/authority/renewal_test.go
@@ -50,9 +50,9 @@
 		return time.Duration(rapid.IntRange(-5, 60).Draw(t, name)) * second
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		input := RenewalInput{Now: seconds(t, "now"), AnswerDeadline: seconds(t, "until"), MaxStaleness: 20 * second, MustStop: rapid.SliceOfN(attempt, 0, 4).Draw(t, "listed")}
+		input := RenewalInput{Now: seconds(t, "now"), AnswerDeadline: seconds(t, "deadline"), MaxStaleness: 20 * second, MustStop: rapid.SliceOfN(attempt, 0, 4).Draw(t, "must stop")}
 		for range rapid.IntRange(0, 3).Draw(t, "orders") {
-			input.MayStart = append(input.MayStart, PossibleStart{attempt.Draw(t, "order"), seconds(t, "told")})
+			input.MayStart = append(input.MayStart, PossibleStart{attempt.Draw(t, "order"), seconds(t, "confirmed")})
 		}
 		decision := Rules{}.DecideRenewal(input)
 		if err := (Rules{}).CheckAnswer(input, decision.Stops); err != nil {
@@ -93,21 +93,21 @@
 }
 
 // TestEarlierOrdersRequireFenceOrDeadline draws random orders of this owner and of earlier owners. A
-// renewal must not be allowed later than any of these orders permits, a fence must be requested exactly
-// where it would make the renewal possible, and CheckAnswer must find an answer that ignores an overdue
-// earlier order.
+// renewal must not be allowed later than any of these orders permits. A fence must be requested exactly
+// where it would make the renewal possible. CheckAnswer must reject an answer that is sent after the
+// deadline of an earlier owner's order.
 func TestEarlierOrdersRequireFenceOrDeadline(t *testing.T) {
 	const staleness = 20 * second
 	seconds := func(t *rapid.T, name string) time.Duration {
 		return time.Duration(rapid.IntRange(-40, 60).Draw(t, name)) * second
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		input := RenewalInput{Now: seconds(t, "now"), AnswerDeadline: seconds(t, "until"), MaxStaleness: staleness}
+		input := RenewalInput{Now: seconds(t, "now"), AnswerDeadline: seconds(t, "deadline"), MaxStaleness: staleness}
 		for range rapid.IntRange(0, 2).Draw(t, "own orders") {
-			input.MayStart = append(input.MayStart, PossibleStart{Attempt{"job-1/0", 1}, seconds(t, "told")})
+			input.MayStart = append(input.MayStart, PossibleStart{Attempt{"job-1/0", 1}, seconds(t, "confirmed")})
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "earlier orders") {
-			input.EarlierOrders = append(input.EarlierOrders, EarlierOrder{"job-2", seconds(t, "told")})
+			input.EarlierOrders = append(input.EarlierOrders, EarlierOrder{"job-2", seconds(t, "confirmed")})
 		}
 		fencedInput := input
 		fencedInput.EarlierOrders = nil
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -185,7 +185,7 @@
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return fmt.Errorf("send the request to the controller: %w", err)
+		return fmt.Errorf("no response from the controller: %w", err)
 	}
 	defer resp.Body.Close()
 	content, err := io.ReadAll(resp.Body)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -54,8 +54,8 @@
 		WriteRPS float64 `json:"write_rps"`
 		ValueKB  float64 `json:"value_kb"`
 		TxnOps   int     `json:"txn_ops"`
-		// Next holds the limits that the state service will enforce from an unspecified later time
-		// on; nil if no change is announced.
+		// Next holds the limits that the state service will enforce from some later time on; nil if
+		// no change is announced.
 		Next *StateLimits `json:"next"`
 	} `json:"state"`
 	Cloud struct {
@@ -92,9 +92,11 @@
 	return txnOps, valueKB
 }
 
-// Objective is a service-level objective for a class of jobs.
+// Objective is a service-level objective for a class of jobs: that a job is finished within WithinS seconds
+// (kind finished) or within Times times its deadline (kind deadline), or that its tasks are started within
+// WithinS seconds (kind wait).
 type Objective struct {
-	Kind    string  `json:"kind"` // finished, deadline, or wait (tasks started); other kinds are ignored
+	Kind    string  `json:"kind"` // other kinds are ignored
 	Class   string  `json:"class"`
 	WithinS float64 `json:"within_s"`
 	Times   float64 `json:"times"`
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -42,7 +42,8 @@
 }
 
 // TestParseOperatorSettings checks that valid operator settings are parsed, that the defaults apply without
-// a file, and that the error for an invalid setting is one line and names the setting.
+// a file, that the error for an invalid setting is one line and names the setting, and that unknown
+// settings of reachability are rejected.
 func TestParseOperatorSettings(t *testing.T) {
 	settings, err := ParseOperatorSettings([]byte(`{"idle_return_s": 20, "allow_spot": false, "other": 1}`))
 	if err != nil || settings.IdleReturnS != 20 || settings.SpotAllowed() {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -39,7 +39,7 @@
 	FlapLongestS  float64 `json:"flap_longest_s"`
 }
 
-// check checks the settings against each other, which the schema cannot express.
+// check checks conditions between settings, which the schema cannot express.
 func (r Reachability) check() error {
 	suppress, reuse := cmp.Or(r.FlapSuppress, limits.FlapSuppress), cmp.Or(r.FlapReuse, limits.FlapReuse)
 	if reuse >= suppress {
@@ -65,7 +65,7 @@
 }
 
 // ParseOperatorSettings parses the content of the operator settings file, and checks it against the schema
-// and for contradictions.
+// and the conditions between settings.
 func ParseOperatorSettings(content []byte) (*OperatorSettings, error) {
 	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(content))
 	if err != nil {
@@ -73,15 +73,15 @@
 	}
 	schemaDocument, err := jsonschema.UnmarshalJSON(bytes.NewReader(OperatorSchema))
 	if err != nil {
-		return nil, fmt.Errorf("the schema of the operator settings: %w", err)
+		return nil, fmt.Errorf("parse the schema of the operator settings: %w", err)
 	}
 	compiler := jsonschema.NewCompiler()
 	if err := compiler.AddResource("operator.schema.json", schemaDocument); err != nil {
-		return nil, fmt.Errorf("the schema of the operator settings: %w", err)
+		return nil, fmt.Errorf("add the schema of the operator settings: %w", err)
 	}
 	schema, err := compiler.Compile("operator.schema.json")
 	if err != nil {
-		return nil, fmt.Errorf("the schema of the operator settings: %w", err)
+		return nil, fmt.Errorf("compile the schema of the operator settings: %w", err)
 	}
 	if err := schema.Validate(document); err != nil {
 		var invalid *jsonschema.ValidationError
@@ -92,11 +92,11 @@
 			lines := strings.Split(invalid.Error(), "\n")
 			return nil, &FieldError{"operator." + strings.Join(invalid.InstanceLocation, "."), strings.TrimSpace(lines[len(lines)-1])}
 		}
-		return nil, fmt.Errorf("the operator settings file: %w", err)
+		return nil, fmt.Errorf("validate the operator settings file: %w", err)
 	}
 	settings := &OperatorSettings{}
 	if err := json.Unmarshal(content, settings); err != nil {
-		return nil, fmt.Errorf("the operator settings file: %w", err)
+		return nil, fmt.Errorf("decode the operator settings file: %w", err)
 	}
 	if err := settings.Reachability.check(); err != nil {
 		return nil, err
--- a/internal/controller/assignments.go
+++ b/internal/controller/assignments.go
@@ -15,8 +15,8 @@
 }
 
 // machineLoad holds the tasks placed on one machine and the sum of their resources. The sum is
-// maintained incrementally, because recomputing it for every report used most of an owner's CPU
-// share.
+// updated incrementally, because recomputing it for every heartbeat would use most of an owner's
+// CPU time.
 type machineLoad struct {
 	class   string
 	tasks   map[string]taskRef // by task ID
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -37,37 +37,39 @@
 	machineRecords map[string]machineRecord
 	machineTable   *statestore.RecordTable // stores machineRecords
 	attemptCounter uint64                  // lower part of the last attempt number
-	// lastHeartbeat is when a worker's report was last accepted. heartbeatsResumedAt is when the first
-	// report after the last gap without any was accepted. lastMachineJoined is when a recorded machine
-	// last sent its first report under the current term.
+	// lastHeartbeat is when a worker's heartbeat was last accepted. heartbeatsResumedAt is when the
+	// first heartbeat after the last long gap was accepted. lastMachineJoined is when a machine
+	// that is recorded as up last sent its first heartbeat under the current term. An answer to a
+	// probe counts as a heartbeat in all three.
 	lastHeartbeat, heartbeatsResumedAt, lastMachineJoined time.Duration
-	// lastArrival is when a report for an owned class last arrived, whether or not it was answered.
-	// lastForeignArrival is when a report for another owner's class last arrived. handedOverAt is
-	// when this node last handed its classes over. foreignArrivals maps each peer to the time at
-	// which it last confirmed that workers of other owners' classes report to it.
+	// lastArrival is when a heartbeat for an owned class last arrived, whether or not it was
+	// answered. lastForeignArrival is when a heartbeat for a class that this node doesn't own last
+	// arrived. handedOverAt is when this node last handed its classes over. foreignArrivals maps
+	// each peer to the time at which it last confirmed that it receives heartbeats for classes that
+	// it doesn't own.
 	lastArrival, lastForeignArrival, handedOverAt time.Duration
 	foreignArrivals                               map[string]time.Duration
 	nextArrivalQuery                              time.Duration
 
 	jobsChanged bool // inputs of jobs' Active and Frozen may have changed
-	// reported and reportedAttempts are scratch maps that reconcile reuses for each report.
+	// reported and reportedAttempts are scratch maps that reconcile reuses for each task list.
 	reported         map[attemptKey]bool
 	reportedAttempts map[uint64]bool
-	// lastRound holds the work that the last scheduling round left waiting. allocateOnMachine fills the room
-	// that a single report frees from it. It is nil when it may be out of date.
+	// lastRound holds the tasks that the last scheduling round left waiting. allocateOnMachine uses
+	// it to fill the capacity that a single heartbeat frees. It is nil when it may be out of date.
 	lastRound *schedulingRound
 	nextRound time.Duration
-	// preemptions maps each machine whose tasks are preempted to the job that waits for the room.
+	// preemptions holds the preemption in progress on each machine, by machine.
 	preemptions    map[string]*preemption
 	nextPreemption time.Duration
 	// directCalls are the calls to workers in flight, by ID.
 	directCalls      map[uint64]*directCall
 	lastDirectCallID uint64
 	probesInFlight   int // direct calls in flight that launch nothing, fences excluded
-	// fencesInFlight counts the direct calls in flight that only show a worker our fencing token;
-	// fenceRepeats counts the repeated ones among them.
+	// fencesInFlight counts the direct calls in flight that only show a worker this owner's fencing
+	// token. fenceRepeats counts the repeated fences among them.
 	fencesInFlight, fenceRepeats int
-	plannedMachines              []string // machines with new plans whose launches are not sent yet
+	plannedMachines              []string // machines with planned launches that are not sent yet
 	// jobOrder caches the scheduling order of the jobs.
 	jobOrder          []*jobs.Job
 	jobOrderAt        time.Duration // when jobOrder was computed
@@ -84,24 +86,26 @@
 	storeReplyTimes    replyTimes
 	renewalRules       authority.RenewalPolicy
 	renewals           renewalCounts
-	// heldHeartbeats maps each machine to its report whose answer waits until the machine has seen our
-	// fencing token. fenceQueue lists the machines that wait for their first fence.
+	// heldHeartbeats maps each machine to its heartbeat whose answer waits until the worker has
+	// seen this owner's fencing token. fenceQueue lists the machines that wait for their first
+	// fence.
 	heldHeartbeats   map[string]*heldHeartbeat
 	fenceQueue       []string
 	nextKnowledgeLog time.Duration
 	loggedFullReads  int               // full reads of the records that were logged
 	links            *linkMonitor      // nil if link monitoring is switched off
 	sentCounts       map[string][2]int // job -> tasks done and running, as last sent to peers
-	// pendingCancelNotices maps each owner to the cancelled jobs whose notice it has not acknowledged.
+	// pendingCancelNotices maps each owner to the cancelled jobs whose notice it has not
+	// acknowledged.
 	pendingCancelNotices map[string]map[string]bool
 	nextCancelNotice     time.Duration
-	// gangOnlyMachines are reserved for gangs. gangDemand is the recent peak of the CPUs that
-	// gangs due to start soon asked for, as of gangDemandAt; it decays with GangDemandHalfLife.
+	// gangOnlyMachines are reserved for gangs. gangDemand is the recent peak of the CPUs requested
+	// by gangs that should start soon, as of gangDemandAt; it decays with GangDemandHalfLife.
 	gangOnlyMachines  map[string]bool
 	gangDemand        float64
 	gangDemandAt      time.Duration
 	nextGangReserve   time.Duration
-	keptIdleClasses   map[string]bool // classes whose idle machines are kept, so that small tasks leave scarce classes
+	keptIdleClasses   map[string]bool // classes whose idle machines are kept for small tasks, to spare scarce classes
 	savedTypes        map[string]bool // machine types that are stored in the state service
 	savingTypes       bool            // a write of machine types is in flight
 	recordRequested   map[string]bool // machines whose record as up was requested
@@ -112,7 +116,7 @@
 }
 
 // NewCore returns the state machine of one controller. incarnation is a random number that
-// identifies this run of the process.
+// identifies this incarnation of the process.
 func NewCore(settings *config.Settings, operator *config.OperatorSettings, now Now, incarnation uint64) *Core {
 	c := &Core{
 		settings:             settings,
@@ -170,7 +174,7 @@
 }
 
 // Step processes one input and returns the resulting outputs.
-func (c *Core) Step(now Now, in Input) []Output {
+func (c *Core) Step(now Now, input Input) []Output {
 	if now.Steady-c.now.Steady > limits.PauseThreshold {
 		c.resumeAfterPause(now.Steady)
 	}
@@ -178,49 +182,49 @@
 		c.now.Steady = now.Steady
 	}
 	c.now.Unix = now.Unix
-	t := c.now.Steady
+	steady := c.now.Steady
 	c.jobs.SetCancellationsKnownThrough(c.ownership.CancellationsKnownThrough())
-	c.ownership.Advance(t)
-	c.store.Advance(t)
-	c.links.recordInput(in, t)
-	switch x := in.(type) {
+	c.ownership.Advance(steady)
+	c.store.Advance(steady)
+	c.links.recordInput(input, steady)
+	switch event := input.(type) {
 	case Submit:
-		c.submit(x)
+		c.submit(event)
 	case Query:
-		c.query(x)
+		c.query(event)
 	case Cancel:
-		c.cancel(x)
+		c.cancel(event)
 	case Ready:
-		c.answerReady(x)
+		c.answerReady(event)
 	case LinksQuery:
-		c.answerLinksQuery(x)
+		c.answerLinksQuery(event)
 	case HeartbeatRequest:
-		// Hundreds of reports arrive each second. Only the answer is sent at once; the other
-		// effects of a report wait for the next tick.
-		c.handleHeartbeat(x)
+		// Hundreds of heartbeats arrive each second. Only the answer is sent at once; the work that
+		// follows from a heartbeat waits for the next tick.
+		c.handleHeartbeat(event)
 		return c.takeOutputs()
 	case StoreReply:
-		c.recordStoreLatency(x)
-		c.store.Reply(t, x.ID, x.Status, x.Body)
+		c.recordStoreLatency(event)
+		c.store.Reply(steady, event.ID, event.Status, event.Body)
 	case DirectReply:
-		c.handleDirectReply(x)
+		c.handleDirectReply(event)
 		return c.takeOutputs()
 	case CloudReply:
-		c.fleet.Reply(t, x.ID, x.Status, x.Body)
+		c.fleet.Reply(steady, event.ID, event.Status, event.Body)
 		c.fleetChanged = true
 	case PeerReply:
-		c.handlePeerReply(x)
+		c.handlePeerReply(event)
 	case PeerRequest:
-		c.handlePeerRequest(x)
+		c.handlePeerRequest(event)
 	}
 	c.advance()
 	return c.takeOutputs()
 }
 
 // resumeAfterPause restarts the timers for silence and planning when the process resumes at now
-// after a pause. Messages that arrived during the pause are still unread, so the silence of workers
-// and peers proves nothing yet. Without this, a resumed node at once returned machines and handed
-// over its classes.
+// after a pause. Messages that arrived during the pause are still unread, so the silence of
+// workers and peers proves nothing yet. Without this, a resumed node would at once return machines
+// and hand over its classes.
 func (c *Core) resumeAfterPause(now time.Duration) {
 	c.log(slog.LevelInfo, "stood still", "for", now-c.now.Steady)
 	c.links.recordPause(now - c.now.Steady)
--- a/internal/controller/direct.go
+++ b/internal/controller/direct.go
@@ -11,10 +11,10 @@
 	"umberpaddle/internal/workers"
 )
 
-// DirectCall is an order sent straight to a worker, and DirectReply is its outcome.
+// DirectCall is a direct order to a worker, and DirectReply is the outcome.
 type (
-	// DirectCall carries commands to a worker without waiting for its next report. It must not be
-	// sent after Until.
+	// DirectCall carries commands to a worker without waiting for its next heartbeat. It must not
+	// be sent after Until.
 	DirectCall struct {
 		ID      uint64
 		Address string
@@ -38,20 +38,21 @@
 	term        uint64
 	tasks       []taskRef
 	attempts    []uint64 // attempt numbers, in the order of tasks
-	probe       bool     // launches nothing; asks for the machine's task list
+	probe       bool     // launches nothing; the answer lists the machine's tasks
 	fence       bool     // launches nothing; shows the worker this owner's fencing token
 	repeat      bool     // the call is a repeated fence
 }
 
-// sendDirectLaunches sends planned launches to their machines at once, up to limits.DirectInFlight
-// orders at a time. The remaining launches wait until one of these orders is answered, or for the
-// machine's next report. Unlike an answer to a report, an order may be executed at any later time
-// while token and session match. So until the order is answered, a report that lacks its attempts
-// proves nothing, and an order that is never answered may take effect as long as the session lasts.
+// sendDirectLaunches sends planned launches to their machines at once, up to
+// limits.MaxDirectOrdersInFlight orders at a time. The remaining launches wait until one of these orders
+// is answered, or for the machine's next heartbeat. Unlike an answer to a heartbeat, a direct order
+// may be executed at any later time at which its fencing token and worker incarnation are still the
+// current ones. So until the order is answered, a heartbeat that lacks its attempts proves nothing,
+// and an order that is never answered may take effect as long as the worker's incarnation lasts.
 func (c *Core) sendDirectLaunches() {
 	sent := 0
 	for _, machineID := range c.plannedMachines {
-		if len(c.directCalls)-c.probesInFlight-c.fencesInFlight >= limits.MaxDirectInFlight {
+		if len(c.directCalls)-c.probesInFlight-c.fencesInFlight >= limits.MaxDirectOrdersInFlight {
 			break
 		}
 		sent++
@@ -62,23 +63,24 @@
 	c.plannedMachines = slices.Delete(c.plannedMachines, 0, sent)
 }
 
-// mayOrderDirectly reports whether the launches planned for a machine may be sent straight to it.
+// mayOrderDirectly reports whether the launches planned for a machine may be sent in a direct
+// order.
 func (c *Core) mayOrderDirectly(machine *workers.Machine, load *machineLoad) bool {
 	if machine == nil || load == nil || load.planned == 0 || machine.DirectInFlight || machine.Address == "" {
 		return false
 	}
 	silence := c.now.Steady - machine.LastHeartbeat
-	return silence <= c.pool.HeartbeatInterval+limits.DirectSlack && machine.Usable(c.now.Steady, c.pool.HeartbeatInterval) && c.machineRecords[machine.ID].Up
+	return silence <= c.pool.HeartbeatInterval+limits.DirectOrderSlack && machine.Usable(c.now.Steady, c.pool.HeartbeatInterval) && c.machineRecords[machine.ID].Up
 }
 
-// sendLaunches sends a machine an order with its planned launches.
+// sendLaunches sends a machine a direct order with its planned launches.
 func (c *Core) sendLaunches(machine *workers.Machine, load *machineLoad) {
 	call := &directCall{machine: machine.ID, incarnation: machine.Incarnation, term: machine.Term}
 	var commands []wire.Command
 	for _, taskID := range load.plannedTaskIDs() {
 		ref := load.tasks[taskID]
 		if len(commands) >= limits.MaxCommands || ref.job.Cancelled {
-			continue // launched or unassigned with the next report
+			continue // launched or unassigned with the answer to the next heartbeat
 		}
 		assignment := ref.job.Assigned[ref.task]
 		assignment.State, assignment.Delivery, assignment.WorkerIncarnation = jobs.Sent, jobs.DirectPending, machine.Incarnation
@@ -98,7 +100,7 @@
 	c.outputs = append(c.outputs, DirectCall{ID: c.lastDirectCallID, Address: machine.Address, Body: orders, Until: c.ownership.AnswerDeadline()})
 }
 
-// handleDirectReply processes the outcome of an order.
+// handleDirectReply processes the outcome of a direct order.
 func (c *Core) handleDirectReply(reply DirectReply) {
 	call := c.directCalls[reply.ID]
 	if call == nil {
@@ -124,8 +126,8 @@
 		c.handleLaunchReply(machine, call, reply)
 	}
 	c.answerHeldHeartbeat(call.machine)
-	// Launches planned while the order was in flight are sent at once, but only to a worker that
-	// answered. Otherwise a worker that refuses connections would be called without any pause.
+	// Launches planned while the order was in flight are sent at once, but only if the worker
+	// answered 200. Otherwise a worker that refuses connections would be called without any pause.
 	if load := c.loads[call.machine]; reply.Status == 200 && load != nil && load.planned > 0 {
 		c.plannedMachines = append(c.plannedMachines, call.machine)
 	}
@@ -134,7 +136,7 @@
 	}
 }
 
-// handleLaunchReply processes the outcome of an order that launches tasks.
+// handleLaunchReply processes the outcome of a direct order that launches tasks.
 func (c *Core) handleLaunchReply(machine *workers.Machine, call *directCall, reply DirectReply) {
 	if machine.Term != call.term || machine.Incarnation != call.incarnation {
 		return // the order is void, and reconcile has already processed its tasks
@@ -159,12 +161,12 @@
 	if reply.Status != 200 && reply.Status != 409 {
 		return
 	}
-	report := &wire.Heartbeat{}
-	if wire.Decode(reply.Body, report) != nil || report.Machine != machine.ID || !c.pool.ReceiveOrderReply(c.now.Steady, machine, report) {
+	heartbeat := &wire.Heartbeat{}
+	if wire.Decode(reply.Body, heartbeat) != nil || heartbeat.Machine != machine.ID || !c.pool.ReceiveOrderReply(c.now.Steady, machine, heartbeat) {
 		return
 	}
 	c.schedulingDue = true
-	// The resulting commands are sent with the answer to the next report.
+	// The returned commands are dropped: the answer to the next heartbeat carries them.
 	c.reconcile(machine, nil, true)
 }
 
@@ -183,10 +185,10 @@
 	}
 }
 
-// probeSilentMachines asks machines whose report is late for their task list, by an order without
-// commands: their workers may be waiting for another node that doesn't answer, or searching for
-// this node. Without the probes, healthy machines are returned and jobs wait for them after a
-// controller was paused.
+// probeSilentMachines sends a direct order without commands to machines whose heartbeat is late;
+// the answer lists the machine's tasks. The worker of such a machine may be waiting for another
+// node that doesn't answer, or searching for this node. Without the probes, after a controller
+// process was paused, healthy machines are returned and jobs wait for them.
 func (c *Core) probeSilentMachines() {
 	now := c.now.Steady
 	if !c.ownership.MayLaunch() {
@@ -200,19 +202,19 @@
 			continue
 		}
 		machine.NextProbe = now + limits.ProbeInterval
-		c.sendUntracked(machine, max(machine.Incarnation, machine.ProbeIncarnation), []wire.Command{})
+		c.sendUntrackedOrder(machine, max(machine.Incarnation, machine.ProbeIncarnation), []wire.Command{})
 	}
 }
 
-// sendUntracked sends a machine commands that need no tracking (stops, which may be carried out
-// late and more than once), or no commands at all. The answer lists the machine's tasks.
-func (c *Core) sendUntracked(machine *workers.Machine, session uint64, commands []wire.Command) {
+// sendUntrackedOrder sends a machine commands that need no tracking (stops, which may be carried
+// out late and more than once), or no commands at all. The answer lists the machine's tasks.
+func (c *Core) sendUntrackedOrder(machine *workers.Machine, incarnation uint64, commands []wire.Command) {
 	term := c.activeTerms[machine.Class]
 	machine.DirectInFlight = true
 	c.probesInFlight++
 	c.lastDirectCallID++
-	c.directCalls[c.lastDirectCallID] = &directCall{machine: machine.ID, incarnation: session, term: term, probe: true}
-	c.outputs = append(c.outputs, DirectCall{ID: c.lastDirectCallID, Address: machine.Address, Body: wire.Orders{FencingToken: term, Incarnation: session, Commands: commands}, Until: c.ownership.AnswerDeadline()})
+	c.directCalls[c.lastDirectCallID] = &directCall{machine: machine.ID, incarnation: incarnation, term: term, probe: true}
+	c.outputs = append(c.outputs, DirectCall{ID: c.lastDirectCallID, Address: machine.Address, Body: wire.Orders{FencingToken: term, Incarnation: incarnation, Commands: commands}, Until: c.ownership.AnswerDeadline()})
 }
 
 // handleProbeReply processes the outcome of a probe.
@@ -220,43 +222,44 @@
 	if c.activeTerms[machine.Class] != call.term {
 		return
 	}
-	report := decodeOrderReply(machine, reply)
-	if report == nil {
+	heartbeat := decodeOrderReply(machine, reply)
+	if heartbeat == nil {
 		machine.ProbeFailed = true
 		return
 	}
-	c.acceptProbeReply(machine, call, report)
+	c.acceptProbeReply(machine, call, heartbeat)
 }
 
-// decodeOrderReply returns the report in a worker's answer to an order, or nil if there is none.
+// decodeOrderReply returns the heartbeat in a worker's answer to an order, or nil if there is none.
 func decodeOrderReply(machine *workers.Machine, reply DirectReply) *wire.Heartbeat {
-	report := &wire.Heartbeat{}
-	if (reply.Status != 200 && reply.Status != 409) || wire.Decode(reply.Body, report) != nil || report.Machine != machine.ID {
+	heartbeat := &wire.Heartbeat{}
+	if (reply.Status != 200 && reply.Status != 409) || wire.Decode(reply.Body, heartbeat) != nil || heartbeat.Machine != machine.ID {
 		return nil
 	}
-	return report
+	return heartbeat
 }
 
-// acceptProbeReply processes the report in a worker's answer to a probe or a fence.
-func (c *Core) acceptProbeReply(machine *workers.Machine, call *directCall, report *wire.Heartbeat) {
+// acceptProbeReply processes the heartbeat in a worker's answer to a probe or a fence.
+func (c *Core) acceptProbeReply(machine *workers.Machine, call *directCall, heartbeat *wire.Heartbeat) {
 	wasResolved, alreadyReported := machine.Resolved(), machine.Term == call.term
-	if !c.pool.ReceiveProbeReply(c.now.Steady, machine, report, call.term, call.incarnation) {
+	if !c.pool.ReceiveProbeReply(c.now.Steady, machine, heartbeat, call.term, call.incarnation) {
 		return
 	}
-	// Without this, a new owner would return a machine that answered its probe, together with the
-	// machine's tasks, as one that never came up.
+	// Without this, a new owner would treat a machine that answered its probe as one that never
+	// came up, and return it together with its tasks.
 	if rental := c.fleet.Track(machine.ID, rentalKind(machine), c.now.Steady); rental != nil {
 		rental.Up = true
 	}
 	c.recordHeartbeatTime(machine, alreadyReported)
-	c.log(slog.LevelDebug, "silent machine answered", "machine", machine.ID, "session", report.Incarnation, "tasks", len(report.Tasks))
+	c.log(slog.LevelDebug, "silent machine answered", "machine", machine.ID, "session", heartbeat.Incarnation, "tasks", len(heartbeat.Tasks))
 	c.schedulingDue, c.fleetChanged = true, true
 	c.jobsChanged = c.jobsChanged || !wasResolved
 	c.reconcile(machine, nil, true)
 }
 
-// repeatLaunches appends the launches whose order was never answered and that no report has shown.
-// The answer to a report repeats them, and the worker ignores the attempts that it already has.
+// repeatLaunches appends the launches whose order was never answered and whose attempts no
+// heartbeat has listed. The answer to a heartbeat repeats them, and the worker ignores the attempts
+// that it already has.
 func (c *Core) repeatLaunches(machine *workers.Machine, commands []wire.Command) []wire.Command {
 	if !machine.HasUnansweredOrders() {
 		return commands
@@ -270,28 +273,28 @@
 		}
 		commands = append(commands, wire.Command{Verb: wire.VerbLaunch, Task: taskID, Attempt: assignment.Attempt})
 		if ref.job.Gang && ref.job.GangRun.Ending {
-			// Stop the attempt again to be sure that it is gone: the next gang attempt waits for
-			// it.
+			// The stop ensures that the attempt is gone: the next attempt of the gang waits for its
+			// end.
 			commands = append(commands, wire.Command{Verb: wire.VerbStop, Task: taskID, Attempt: assignment.Attempt})
 		}
 	}
 	return commands
 }
 
-// mayClear reports whether the worker may forget an ended attempt. An order that is carried out
-// late or twice, after the clear, would start the attempt again, perhaps while the task runs on
-// another machine. A completed task that is started again exits at once, so its attempt needs to be
-// kept only if the job is cancelled.
-func (c *Core) mayClear(machine *workers.Machine, job *jobs.Job, report wire.TaskStatus) bool {
-	order := machine.Orders[report.Attempt]
+// mayClear reports whether the worker may forget an ended attempt. A direct order that is carried
+// out late or twice, after the clear, would start the attempt again, perhaps while the task runs on
+// another machine. A completed task that is started again exits at once, so a completed attempt
+// needs to be kept only while its order is unanswered or if the job is cancelled.
+func (c *Core) mayClear(machine *workers.Machine, job *jobs.Job, status wire.TaskStatus) bool {
+	order := machine.Orders[status.Attempt]
 	if order == nil {
 		return true
 	}
 	if order.State == workers.OrderUnanswered {
 		return false
 	}
-	if report.Cause == wire.CauseDone && (job == nil || !job.Cancelled) {
+	if status.Cause == wire.CauseDone && (job == nil || !job.Cancelled) {
 		return true
 	}
-	return c.now.Steady-order.SentAt > time.Duration(limits.ClearLeases*float64(c.pool.LeaseDuration))
+	return c.now.Steady-order.SentAt > time.Duration(limits.ClearAfterLeases*float64(c.pool.LeaseDuration))
 }
--- a/internal/controller/direct_launches_test.go
+++ b/internal/controller/direct_launches_test.go
@@ -13,7 +13,7 @@
 // and the limit on concurrent orders must be reached but never exceeded. Launches that exceed the
 // limit must not wait for the machines' next reports, which come seconds later.
 func TestLaunchesBeyondTheLimitAreSentInTurn(t *testing.T) {
-	const machines = 3 * limits.MaxDirectInFlight
+	const machines = 3 * limits.MaxDirectOrdersInFlight
 	cfg := standardConfig()
 	cfg.reportS, cfg.leaseS, cfg.cancelS = 20, 90, 120
 	cfg.capacity = map[fleet.Kind]int{{Class: "small", Zone: "a"}: machines}
@@ -29,7 +29,7 @@
 			machinesUp++
 		}
 	}
-	if machinesUp <= 2*limits.MaxDirectInFlight {
+	if machinesUp <= 2*limits.MaxDirectOrdersInFlight {
 		t.Fatalf("only %d machines are up", machinesUp)
 	}
 	sim.submitJob("job-000001", batchSpec("blue", machinesUp, 8, 300), 300)
@@ -45,8 +45,8 @@
 	if running < machinesUp*9/10 {
 		t.Errorf("%d of %d tasks are on their machines after 5 s; machines report every 20 s", running, machinesUp)
 	}
-	if maxInFlight != limits.MaxDirectInFlight {
-		t.Errorf("at most %d concurrent orders, want the limit of %d", maxInFlight, limits.MaxDirectInFlight)
+	if maxInFlight != limits.MaxDirectOrdersInFlight {
+		t.Errorf("at most %d concurrent orders, want the limit of %d", maxInFlight, limits.MaxDirectOrdersInFlight)
 	}
 }
 
--- a/internal/controller/earlier_orders_test.go
+++ b/internal/controller/earlier_orders_test.go
@@ -365,7 +365,7 @@
 	t.Run("a question that was under way is answered first", func(t *testing.T) {
 		owner := newSteppedOwner(t)
 		owner.cancelJobOfPreviousOwner()
-		owner.core.sendUntracked(owner.machine, owner.machine.Incarnation, []wire.Command{})
+		owner.core.sendUntrackedOrder(owner.machine, owner.machine.Incarnation, []wire.Command{})
 		probe := owner.fenceOrder(owner.core.takeOutputs())
 		if outputs := owner.reportWithToken(owner.machine.Term - 1); owner.fenceOrder(outputs) == nil || len(answersOf(outputs)) > 0 {
 			t.Fatalf("report not held for a fence: %+v", outputs)
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -37,11 +37,11 @@
 		Ref uint64
 		ID  string
 	}
-	// Ready is a readiness check: whether the node accepts requests of users.
+	// Ready is a readiness check, which asks whether the node accepts requests of users.
 	Ready struct{ Ref uint64 }
-	// LinksQuery is an operator's request for the state of the links, as this controller sees it.
+	// LinksQuery is an operator's request for this controller's view of the links.
 	LinksQuery struct{ Ref uint64 }
-	// HeartbeatRequest is a worker's report.
+	// HeartbeatRequest is a worker's heartbeat.
 	HeartbeatRequest struct {
 		Ref       uint64
 		Heartbeat *wire.Heartbeat
@@ -96,7 +96,7 @@
 		Msg   string
 		Args  []any
 	}
-	// PeerCall is a message to a peer. Sent is the time at which Step returned it.
+	// PeerCall is a message to a peer. Sent is the time of the step that returned the call.
 	PeerCall struct {
 		Peer   string
 		Sent   time.Duration
--- a/internal/controller/fences.go
+++ b/internal/controller/fences.go
@@ -12,33 +12,35 @@
 	"umberpaddle/internal/workers"
 )
 
-// heldHeartbeat is a report whose answer waits until its worker has seen this owner's fencing token.
+// heldHeartbeat is a heartbeat whose answer waits until its worker has seen this owner's fencing
+// token.
 type heldHeartbeat struct {
 	request  HeartbeatRequest
 	deadline time.Duration
-	// fencesSent is the number of fences sent for this report, and nextFence is when the next one
-	// is due.
+	// fencesSent is the number of fences sent for this heartbeat, and nextFence is when the next
+	// fence is due.
 	fencesSent int
 	nextFence  time.Duration
 }
 
-// holdForFence holds the answer to a report and sends the worker a fence: an order without commands
-// that carries this owner's fencing token. From then on the worker refuses the orders of earlier
-// owners, and its answer to the fence lists what they have started. Without the fence, an earlier
-// owner's order may start a cancelled task between the report and its answer; no controller sees
-// the task, and it runs for a whole lease.
-func (c *Core) holdForFence(checkin HeartbeatRequest, machine *workers.Machine, verdict authority.Decision) {
+// holdForFence holds the answer to a heartbeat and sends the worker a fence: a direct order without
+// commands that carries this owner's fencing token. Once the worker has received it, the worker
+// refuses the orders of earlier owners, and its answer to the fence lists what such orders have
+// started. Without the fence, an earlier owner's order may start a cancelled task between the
+// heartbeat and its answer; no controller records the task, and it runs for a whole lease.
+func (c *Core) holdForFence(request HeartbeatRequest, machine *workers.Machine, decision authority.Decision) {
 	if earlier := c.heldHeartbeats[machine.ID]; earlier != nil {
 		c.refuseHeartbeat(earlier.request) // the worker has given up waiting for this answer
 	}
 	c.renewals.FenceHeld++
-	c.log(slog.LevelDebug, "renewal waits for a fence", "machine", machine.ID, "session", machine.Incarnation, "term", machine.Term, "token", checkin.Heartbeat.FencingToken, "job", verdict.CauseJob)
-	c.heldHeartbeats[machine.ID] = &heldHeartbeat{request: checkin, deadline: c.now.Steady + limits.FenceWait}
+	c.log(slog.LevelDebug, "renewal waits for a fence", "machine", machine.ID, "session", machine.Incarnation, "term", machine.Term, "token", request.Heartbeat.FencingToken, "job", decision.CauseJob)
+	c.heldHeartbeats[machine.ID] = &heldHeartbeat{request: request, deadline: c.now.Steady + limits.FenceWait}
 	c.fenceQueue = append(c.fenceQueue, machine.ID)
 	c.sendQueuedFences()
 }
 
-// sendQueuedFences sends queued first fences up to the limit on fences in flight.
+// sendQueuedFences sends the first fences of queued heartbeats, up to the limit on fences in
+// flight.
 func (c *Core) sendQueuedFences() {
 	for len(c.fenceQueue) > 0 && c.fencesInFlight < limits.MaxFencesInFlight {
 		machineID := c.fenceQueue[0]
@@ -49,8 +51,8 @@
 	}
 }
 
-// sendFence sends a fence for a held report. It may be in flight together with other orders to the
-// same machine, since it launches nothing.
+// sendFence sends a fence for a held heartbeat. A fence may be in flight together with other orders
+// to the same machine, since it launches nothing.
 func (c *Core) sendFence(machineID string, held *heldHeartbeat) {
 	machine := c.pool.Machines[machineID]
 	if machine == nil {
@@ -77,8 +79,8 @@
 		c.fenceRepeats--
 	}
 	if machine := c.pool.Machines[call.machine]; machine != nil && c.activeTerms[machine.Class] == call.term {
-		if report := decodeOrderReply(machine, reply); report != nil {
-			c.acceptProbeReply(machine, call, report)
+		if heartbeat := decodeOrderReply(machine, reply); heartbeat != nil {
+			c.acceptProbeReply(machine, call, heartbeat)
 		}
 		c.answerHeldHeartbeat(machine.ID)
 	}
@@ -88,8 +90,8 @@
 	}
 }
 
-// answerHeldHeartbeat answers the held report of a machine, if there is one and the worker has since
-// seen this owner's fencing token.
+// answerHeldHeartbeat answers the held heartbeat of a machine, if there is one and the worker has
+// since seen this owner's fencing token.
 func (c *Core) answerHeldHeartbeat(machineID string) {
 	machine, held := c.pool.Machines[machineID], c.heldHeartbeats[machineID]
 	if machine == nil || held == nil || !c.isFenced(machine, held) {
@@ -100,15 +102,15 @@
 	c.renew(held.request, machine, workers.Overtaken)
 }
 
-// isFenced reports whether the worker has seen this owner's fencing token in the session of the
-// held report, so that its task list is complete.
+// isFenced reports whether the worker incarnation that sent the held heartbeat has seen this
+// owner's fencing token. If it has, the machine's task list is complete.
 func (c *Core) isFenced(machine *workers.Machine, held *heldHeartbeat) bool {
 	term, owned := c.activeTerms[machine.Class]
 	return owned && c.ownership.MayAnswer() && machine.Term == term && machine.Adopted && machine.Incarnation == held.request.Heartbeat.Incarnation
 }
 
-// updateHeldHeartbeats repeats fences that were not answered, and refuses the reports that have waited
-// too long. A refused worker tries again within a second or two.
+// updateHeldHeartbeats repeats fences that were not answered, and refuses the heartbeats that have
+// waited too long. The worker of a refused heartbeat tries again within a second or two.
 func (c *Core) updateHeldHeartbeats() {
 	if len(c.heldHeartbeats) == 0 {
 		return
@@ -124,9 +126,9 @@
 	}
 }
 
-// refuseHeldHeartbeat answers the held report of a machine, if there is one, with 503. It is also
-// called when a class is released. Otherwise, once the class is taken over again, the machine would
-// be sent fences without a term for the held report.
+// refuseHeldHeartbeat answers the held heartbeat of a machine, if there is one, with 503. It is
+// also called when this node releases the class. Without that call, once this node owns the class
+// again, it would send the machine fences without a term for the old heartbeat.
 func (c *Core) refuseHeldHeartbeat(machineID string) {
 	held := c.heldHeartbeats[machineID]
 	if held == nil {
--- a/internal/controller/gang_reserve.go
+++ b/internal/controller/gang_reserve.go
@@ -34,12 +34,13 @@
 }
 
 // reserveForGangs reserves some on-demand machines for gangs that should start within seconds.
-// Such gangs have few, small tasks, and their start time is mostly spent on fetching the image
-// on all their machines at once. If array jobs fill all free machines, each gang is placed on
-// machines without its image. On reserved machines, the image is present from the second gang on.
+// Such gangs have few, small tasks. Most of the time until they start is spent on fetching the
+// image, on all their machines at once. If array jobs fill all free machines, each gang is placed
+// on machines without its image. On reserved machines, the image is present from the second gang
+// on.
 func (c *Core) reserveForGangs(machines []*allocation.Machine) {
 	if c.now.Steady < c.nextGangReserve {
-		return // sorting the machines in every run would use a tenth of a small CPU share
+		return // sorting the machines in every round would take a tenth of a small controller's CPU time
 	}
 	c.nextGangReserve = c.now.Steady + limits.GangReserveInterval
 	demand := c.sumGangStartDemand()
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -20,7 +20,7 @@
 // cause that a worker reports for a task.
 type gangEndReason wire.Cause
 
-// Reasons determined by the controller, as opposed to causes reported by workers.
+// Reasons determined by the owner, as opposed to causes reported by workers.
 const (
 	gangMixedAttempts gangEndReason = "mixed attempts"
 	gangTaskLost      gangEndReason = "task lost"
@@ -42,13 +42,13 @@
 			unit.ExcludedMachines[machineID] = true
 		}
 	}
-	for machineID := range job.GangRun.LeftMachines { // a machine never gets two tasks of the same attempt in turn
+	for machineID := range job.GangRun.LeftMachines { // an attempt that was cleared on a machine must not be launched there again
 		unit.ExcludedMachines[machineID] = true
 	}
 	for _, machineID := range endedTaskMachines[job.ID] {
 		unit.ExcludedMachines[machineID] = true
 	}
-	// Without the check for faulty jobs, a gang that fails on every machine would have room
+	// Without the check for faulty jobs, a gang that fails on every machine would have machines
 	// reserved for each retry.
 	unit.Overdue = !job.Faulty() && c.age(job.SubmitUnix) > limits.GangHoldAge
 	return unit.Count > 0
@@ -102,19 +102,20 @@
 	c.log(slog.LevelDebug, "gang placed", "job", job.ID, "tasks", len(tasks), "of", job.Tasks, "attempt", job.GangRun.Attempt, "team", team)
 }
 
-// recordGangTask processes a gang's task that a machine's report lists.
-func (c *Core) recordGangTask(job *jobs.Job, report wire.TaskStatus) {
+// recordGangTaskStatus processes the status of a gang's task from a machine's heartbeat.
+func (c *Core) recordGangTaskStatus(job *jobs.Job, status wire.TaskStatus) {
 	if job.GangRun.Attempt == 0 {
-		return // adoptGang takes over the attempt once the tasks of all machines are known
+		return // adoptGang adopts the attempt once the tasks of all machines are known
 	}
-	if report.Attempt != job.GangRun.Attempt {
+	if status.Attempt != job.GangRun.Attempt {
 		c.endGang(job, gangMixedAttempts)
-	} else if report.State == wire.TaskRunning || report.State == wire.TaskSaving {
+	} else if status.State == wire.TaskRunning || status.State == wire.TaskSaving {
 		job.GangRun.Started = true
 	}
 }
 
-// recordGangTaskLost records that a gang's task has left its machine without a reported end.
+// recordGangTaskLost records that a launched task of a gang has left its machine. If the gang has
+// started and was not ordered to stop, its attempt ends.
 func (c *Core) recordGangTaskLost(job *jobs.Job, assignment jobs.Assignment) {
 	if assignment.Attempt != job.GangRun.Attempt || assignment.State == jobs.Planned || job.DoneCount == job.Tasks {
 		return
@@ -129,9 +130,9 @@
 }
 
 // recordGangTaskEnd processes the reported end of a gang's task.
-func (c *Core) recordGangTaskEnd(job *jobs.Job, report wire.TaskStatus) {
+func (c *Core) recordGangTaskEnd(job *jobs.Job, status wire.TaskStatus) {
 	switch {
-	case report.Cause == wire.CauseDone:
+	case status.Cause == wire.CauseDone:
 		// A gang is complete when any of its tasks is: the other tasks exit with it.
 		job.Succeeded, job.Backoff = true, 0
 		for task := 0; task < job.Tasks; task++ {
@@ -140,11 +141,11 @@
 		for _, task := range job.AssignedTasks() {
 			c.unassign(job, task)
 		}
-	case report.Attempt != job.GangRun.Attempt:
-	case report.Cause == wire.CauseHalted && job.GangRun.StoppedAt > 0:
+	case status.Attempt != job.GangRun.Attempt:
+	case status.Cause == wire.CauseHalted && job.GangRun.StoppedAt > 0:
 		// The task saved and stopped as ordered; the other tasks are still saving.
 	default:
-		c.endGang(job, gangEndReason(report.Cause))
+		c.endGang(job, gangEndReason(status.Cause))
 	}
 }
 
@@ -177,25 +178,26 @@
 	}
 	job.GangRun.StoppedAt = c.now.Steady
 	c.log(slog.LevelInfo, "gang stops to save", "job", job.ID, "machine", machine.ID, "attempt", job.GangRun.Attempt)
-	// Sent directly, because stop commands in the responses to reports could reach the last
-	// tasks too late.
+	// The stop commands are sent as direct orders, because in heartbeat replies they could reach
+	// the last tasks too late.
 	c.sendGangStops(job, machine.ID)
 }
 
-// shouldStopGangTask reports whether a gang's task must be stopped, and the grace period in seconds.
-func (c *Core) shouldStopGangTask(job *jobs.Job, report wire.TaskStatus) (stop bool, graceS float64) {
+// shouldStopGangTask reports whether a gang's task must be stopped, and with what grace period in
+// seconds.
+func (c *Core) shouldStopGangTask(job *jobs.Job, status wire.TaskStatus) (stop bool, graceS float64) {
 	switch {
-	case job.GangRun.Ending || job.GangRun.Attempt != 0 && report.Attempt != job.GangRun.Attempt:
+	case job.GangRun.Ending || job.GangRun.Attempt != 0 && status.Attempt != job.GangRun.Attempt:
 		return true, 0
-	case job.GangRun.StoppedAt > 0 && report.State != wire.TaskSaving:
+	case job.GangRun.StoppedAt > 0 && status.State != wire.TaskSaving:
 		return true, job.SaveS + c.settings.Cluster.Workers.GangPeerS
 	}
 	return false, 0
 }
 
-// sendGangStops sends stop commands directly to the machines of a gang's tasks, except for
-// exceptMachine, whose report is being answered. Commands that don't arrive are repeated in the
-// responses to reports.
+// sendGangStops sends stop commands as direct orders to the machines of a gang's tasks, except for
+// exceptMachine, whose heartbeat is being answered. Commands that don't arrive are repeated in
+// heartbeat replies.
 func (c *Core) sendGangStops(job *jobs.Job, exceptMachine string) {
 	commands := map[string][]wire.Command{}
 	var machineIDs []string
@@ -212,14 +214,14 @@
 	}
 	for _, machineID := range machineIDs {
 		if machine := c.pool.Machines[machineID]; machine != nil && c.mayStopDirectly(machine) {
-			c.sendUntracked(machine, machine.Incarnation, commands[machineID])
+			c.sendUntrackedOrder(machine, machine.Incarnation, commands[machineID])
 		}
 	}
 }
 
-// mayStopDirectly reports whether stop commands may be sent directly to a machine. Giving up a
-// class removes its gangs' tasks; without the check that the class is owned, the resulting stop
-// commands would be sent without a term.
+// mayStopDirectly reports whether stop commands may be sent to a machine as direct orders. When
+// the owner gives up a class, its gangs' tasks are unassigned. Without the check that the class is
+// owned, the resulting stop commands would be sent without a term.
 func (c *Core) mayStopDirectly(machine *workers.Machine) bool {
 	_, owned := c.activeTerms[machine.Class]
 	reachable := machine.Adopted && !machine.LeaseExpired && !machine.Deleting && machine.Address != ""
@@ -227,7 +229,7 @@
 }
 
 // updateGangs adopts attempts that earlier owners started, ends attempts that take too long to
-// stop, and clears attempts without any tasks left so that the next one can start.
+// stop, and removes attempts that have no tasks left so that the next attempt can start.
 func (c *Core) updateGangs() {
 	steadyNow := c.now.Steady
 	var jobIDs []string
@@ -252,7 +254,7 @@
 	}
 }
 
-// adoptGang takes over an attempt of an earlier owner. If the attempt was being stopped, the
+// adoptGang adopts an attempt of an earlier owner. If the attempt was being stopped, the
 // stop commands are sent again. If tasks are missing and none has run yet, the missing tasks are
 // launched under the same attempt number. An attempt that can't continue is ended.
 func (c *Core) adoptGang(job *jobs.Job) {
@@ -292,7 +294,7 @@
 	for _, machine := range c.pool.Machines {
 		for _, t := range machine.Tasks {
 			if jobID, _ := jobs.SplitTaskID(t.Task); jobID == job.ID && t.Attempt == job.GangRun.Attempt && t.State == wire.TaskEnded {
-				return false // the other tasks of the attempt will stop or time out
+				return false // the other tasks of the attempt will be stopped or time out
 			}
 		}
 	}
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -11,68 +11,70 @@
 	"umberpaddle/internal/workers"
 )
 
-// handleHeartbeat answers a worker's report.
-func (c *Core) handleHeartbeat(checkin HeartbeatRequest) {
-	report := checkin.Heartbeat
-	term, owned := c.activeTerms[report.Type]
+// handleHeartbeat processes a worker's heartbeat and answers it, unless renew holds the answer for
+// a fence.
+func (c *Core) handleHeartbeat(request HeartbeatRequest) {
+	heartbeat := request.Heartbeat
+	term, owned := c.activeTerms[heartbeat.Type]
 	if !owned {
-		c.redirectHeartbeat(checkin)
+		c.redirectHeartbeat(request)
 		return
 	}
 	c.lastArrival = c.now.Steady
-	// A late report of a deleted machine must not register the machine again.
-	if !c.ownership.MayAnswer() || c.fleet.IsDeleted(report.Machine) || report.Machine == "" {
-		c.refuseHeartbeat(checkin)
+	// A late heartbeat of a deleted machine must not register the machine again.
+	if !c.ownership.MayAnswer() || c.fleet.IsDeleted(heartbeat.Machine) || heartbeat.Machine == "" {
+		c.refuseHeartbeat(request)
 		return
 	}
-	machine, reportVerdict := c.receiveHeartbeat(report, term)
-	if reportVerdict == workers.Stale || reportVerdict == workers.Deposed {
-		c.log(slog.LevelDebug, "report refused", "machine", report.Machine, "session", report.Incarnation, "seq", report.Seq, "token", report.FencingToken, "term", term, "why", reportVerdict.String())
-		c.refuseHeartbeat(checkin)
+	machine, verdict := c.receiveHeartbeat(heartbeat, term)
+	if verdict == workers.Stale || verdict == workers.Deposed {
+		c.log(slog.LevelDebug, "heartbeat refused", "machine", heartbeat.Machine, "session", heartbeat.Incarnation, "seq", heartbeat.Seq, "token", heartbeat.FencingToken, "term", term, "why", verdict.String())
+		c.refuseHeartbeat(request)
 		return
 	}
-	c.renew(checkin, machine, reportVerdict)
+	c.renew(request, machine, verdict)
 }
 
-// refuseHeartbeat answers a report with 503. The lease is not renewed, and the worker tries the next
-// controller.
-func (c *Core) refuseHeartbeat(checkin HeartbeatRequest) {
-	c.outputs = append(c.outputs, Answer{Ref: checkin.Ref, Status: 503})
+// refuseHeartbeat answers a heartbeat with 503. The machine's lease is not renewed, and the worker
+// tries the next controller.
+func (c *Core) refuseHeartbeat(request HeartbeatRequest) {
+	c.outputs = append(c.outputs, Answer{Ref: request.Ref, Status: 503})
 }
 
-// redirectHeartbeat answers a report for a class that this node doesn't own.
-func (c *Core) redirectHeartbeat(checkin HeartbeatRequest) {
+// redirectHeartbeat answers a heartbeat for a class that this node doesn't own: it names the owner,
+// or refuses the heartbeat if no other node is recorded as the owner.
+func (c *Core) redirectHeartbeat(request HeartbeatRequest) {
 	c.lastForeignArrival = c.now.Steady
-	if owner := c.ownership.Owner(checkin.Heartbeat.Type); owner != "" && owner != c.settings.Label {
-		c.outputs = append(c.outputs, Answer{Ref: checkin.Ref, Status: 421, Body: wire.Redirect{Owner: owner}})
+	if owner := c.ownership.Owner(request.Heartbeat.Type); owner != "" && owner != c.settings.Label {
+		c.outputs = append(c.outputs, Answer{Ref: request.Ref, Status: 421, Body: wire.Redirect{Owner: owner}})
 		return
 	}
-	c.refuseHeartbeat(checkin)
+	c.refuseHeartbeat(request)
 }
 
-// receiveHeartbeat processes a report for an owned class, and returns its machine and what the report
-// proves.
-func (c *Core) receiveHeartbeat(report *wire.Heartbeat, term uint64) (machine *workers.Machine, reportVerdict workers.Verdict) {
+// receiveHeartbeat processes a heartbeat for an owned class, and returns its machine and what the
+// heartbeat proves.
+func (c *Core) receiveHeartbeat(heartbeat *wire.Heartbeat, term uint64) (machine *workers.Machine, verdict workers.Verdict) {
 	var wasAdopted, wasRecalled, alreadyReported bool
-	if machine := c.pool.Machines[report.Machine]; machine != nil {
+	if machine := c.pool.Machines[heartbeat.Machine]; machine != nil {
 		wasAdopted, wasRecalled, alreadyReported = machine.Adopted, machine.RecallAt != 0, machine.Term == term
 	}
-	machine, reportVerdict = c.pool.Receive(c.now.Steady, report, term, c.ownership.Claims()[report.Type].Since)
-	if reportVerdict == workers.Stale || reportVerdict == workers.Deposed {
-		return machine, reportVerdict
+	machine, verdict = c.pool.Receive(c.now.Steady, heartbeat, term, c.ownership.Claims()[heartbeat.Type].Since)
+	if verdict == workers.Stale || verdict == workers.Deposed {
+		return machine, verdict
 	}
 	if machine.Adopted != wasAdopted {
 		c.jobsChanged, c.fleetChanged = true, true
 	}
 	c.recordHeartbeatTime(machine, alreadyReported)
-	c.links.recordWorkerHeartbeat(report.Type, report.Zone, c.pool.HeartbeatInterval, c.now.Steady)
+	c.links.recordWorkerHeartbeat(heartbeat.Type, heartbeat.Zone, c.pool.HeartbeatInterval, c.now.Steady)
 	if machine.RecallAt != 0 && !wasRecalled && machine.Spot {
 		c.fleet.RecordSpotLoss()
 	}
-	if rental := c.fleet.Track(report.Machine, fleet.Kind{Class: report.Type, Zone: report.Zone, Spot: report.Spot}, c.now.Steady); rental != nil {
+	if rental := c.fleet.Track(heartbeat.Machine, fleet.Kind{Class: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot}, c.now.Steady); rental != nil {
 		rental.Up = true
 	}
-	return machine, reportVerdict
+	return machine, verdict
 }
 
 // attemptKey identifies one attempt of a task.
@@ -81,31 +83,32 @@
 	number uint64
 }
 
-// reconcile updates the assignments to match a current report, or the task list in the answer to an
-// order (direct), and returns commands with the resulting commands appended.
+// reconcile updates the assignments to match the machine's task list, and returns commands with the
+// resulting commands appended. The list comes from a current heartbeat or, if direct is set, from
+// the answer to a direct order.
 func (c *Core) reconcile(machine *workers.Machine, commands []wire.Command, direct bool) []wire.Command {
 	mayLaunch := c.ownership.MayLaunch()
-	// The key includes the attempt: without it, an ended attempt that waits to be cleared would be
-	// mistaken for a later attempt whose launch was lost, and the task would never be launched
-	// again.
+	// The key includes the attempt number. Without it, an ended attempt that waits to be cleared
+	// would be mistaken for a later attempt whose launch was lost, and the task would never be
+	// launched again.
 	reported := c.reported
 	clear(reported)
 	clear(c.reportedAttempts)
 	clear(machine.EndedTasks)
-	for _, report := range machine.Tasks {
-		reported[attemptKey{report.Task, report.Attempt}] = true
-		c.reportedAttempts[report.Attempt] = true
-		jobID, task := jobs.SplitTaskID(report.Task)
+	for _, status := range machine.Tasks {
+		reported[attemptKey{status.Task, status.Attempt}] = true
+		c.reportedAttempts[status.Attempt] = true
+		jobID, task := jobs.SplitTaskID(status.Task)
 		job := c.jobs.Open[jobID]
 		if job != nil && (task < 0 || task >= job.Tasks) {
 			job = nil
 		}
-		if report.State == wire.TaskEnded {
-			commands = c.handleEndedTask(machine, job, report.Task, task, report, commands, mayLaunch)
+		if status.State == wire.TaskEnded {
+			commands = c.handleEndedTask(machine, job, status.Task, task, status, commands, mayLaunch)
 			continue
 		}
-		if stop, graceS := c.handlePresentTask(machine, job, task, report); stop {
-			commands = append(commands, wire.Command{Verb: wire.VerbStop, Task: report.Task, Attempt: report.Attempt, GraceS: graceS})
+		if stop, graceS := c.handlePresentTask(machine, job, task, status); stop {
+			commands = append(commands, wire.Command{Verb: wire.VerbStop, Task: status.Task, Attempt: status.Attempt, GraceS: graceS})
 		}
 	}
 	c.unassignMissing(machine, direct)
@@ -119,7 +122,7 @@
 
 // unassignMissing removes the assignments to a machine that its newest task list, which reconcile
 // has just processed, proves to be gone: the launch was lost, or the task ended with the worker's
-// session.
+// incarnation.
 func (c *Core) unassignMissing(machine *workers.Machine, direct bool) {
 	load := c.loadOf(machine.ID)
 	var missing []string
@@ -129,9 +132,9 @@
 		case c.reported[attemptKey{taskID, assignment.Attempt}] || assignment.State == jobs.Planned:
 		case (assignment.Delivery == jobs.DirectPending || assignment.Delivery == jobs.DirectUnknown) && assignment.WorkerIncarnation == machine.Incarnation:
 		case direct && assignment.Delivery == jobs.InReply && assignment.State == jobs.Sent:
-			// The launch was sent in the answer to a report, and the worker may have sent this list
-			// before it received that answer, so the list proves nothing. Without this case, the
-			// task would be considered lost and started a second time on another machine.
+			// The launch was sent in the answer to a heartbeat, and the worker may have sent this
+			// list before it received that answer, so the list proves nothing. Without this case,
+			// the task would be considered lost and started a second time on another machine.
 		default:
 			missing = append(missing, taskID)
 		}
@@ -144,23 +147,23 @@
 }
 
 // handlePresentTask processes a listed task that has not ended. job is nil if the task belongs to
-// no open job. The results say whether the task must be stopped, and with how many seconds to save
-// its state.
-func (c *Core) handlePresentTask(machine *workers.Machine, job *jobs.Job, task int, report wire.TaskStatus) (stop bool, graceS float64) {
+// no open job. It reports whether the task must be stopped, and with how many seconds to save its
+// state.
+func (c *Core) handlePresentTask(machine *workers.Machine, job *jobs.Job, task int, status wire.TaskStatus) (stop bool, graceS float64) {
 	if job == nil || job.Done.Has(task) {
 		return true, 0 // the task is done, or belongs to no open job
 	}
 	previous, known := job.Assigned[task]
 	if known && previous.Machine != machine.ID && previous.State != jobs.Planned {
-		c.log(slog.LevelError, "task in two places", "task", report.Task, "machine", machine.ID, "other", previous.Machine)
+		c.log(slog.LevelError, "task in two places", "task", status.Task, "machine", machine.ID, "other", previous.Machine)
 		return true, 0
 	}
 	runningSince := previous.RunningSince
-	if runningSince == 0 && report.State == wire.TaskRunning {
+	if runningSince == 0 && status.State == wire.TaskRunning {
 		runningSince = c.now.Steady
 	}
-	c.assign(job, task, jobs.Assignment{Machine: machine.ID, Attempt: report.Attempt, State: taskState(report.State), RunningSince: runningSince})
-	if report.State == wire.TaskRunning {
+	c.assign(job, task, jobs.Assignment{Machine: machine.ID, Attempt: status.Attempt, State: taskState(status.State), RunningSince: runningSince})
+	if status.State == wire.TaskRunning {
 		if !known || previous.State < jobs.Running {
 			c.log(slog.LevelDebug, "task running", "job", job.ID, "task", task, "machine", machine.ID, "class", job.Class, "afterS", c.age(job.SubmitUnix).Seconds())
 		}
@@ -169,24 +172,24 @@
 			machine.Images[job.Image] = true
 		}
 	}
-	return c.mustStop(machine, job, task, report)
+	return c.mustStop(machine, job, task, status)
 }
 
 // mustStop reports whether a task on a machine must be stopped, and with how many seconds to save
 // its state.
-func (c *Core) mustStop(machine *workers.Machine, job *jobs.Job, task int, report wire.TaskStatus) (stop bool, graceS float64) {
+func (c *Core) mustStop(machine *workers.Machine, job *jobs.Job, task int, status wire.TaskStatus) (stop bool, graceS float64) {
 	switch {
 	case job.Cancelled:
 		return true, 0
 	case job.Gang:
-		c.recordGangTask(job, report)
+		c.recordGangTaskStatus(job, status)
 		if c.mustStopGang(machine, job) {
 			c.stopGang(job, machine)
 		}
-		return c.shouldStopGangTask(job, report)
-	case machine.RecallAt != 0 && c.cannotFinish(machine, job, task, report.State):
+		return c.shouldStopGangTask(job, status)
+	case machine.RecallAt != 0 && c.cannotFinish(machine, job, task, status.State):
 		return true, 0
-	case report.State == wire.TaskRunning && (c.mustSave(machine, job) || c.mustPreempt(machine.ID, report.Task, report.Attempt)):
+	case status.State == wire.TaskRunning && (c.mustSave(machine, job) || c.mustPreempt(machine.ID, status.Task, status.Attempt)):
 		return true, job.SaveS + 1
 	}
 	return false, 0
@@ -214,7 +217,7 @@
 }
 
 // cannotFinish reports whether a task that never saves its state will not finish before the cloud
-// takes its machine. Such a task should start over on another machine at once.
+// takes its machine. Such a task is stopped at once and starts over on another machine.
 func (c *Core) cannotFinish(machine *workers.Machine, job *jobs.Job, task int, state wire.TaskState) bool {
 	if job.CheckpointS > 0 || state == wire.TaskSaving {
 		return false
@@ -226,8 +229,9 @@
 	return remainingS > (machine.RecallAt - c.now.Steady).Seconds()
 }
 
-// launchCommands appends launch commands for the tasks planned for a machine.
-func (c *Core) launchCommands(machine *workers.Machine, commands []wire.Command) []wire.Command {
+// appendLaunchCommands appends launch commands for the tasks planned for a machine, and unassigns
+// planned tasks that must no longer be launched there.
+func (c *Core) appendLaunchCommands(machine *workers.Machine, commands []wire.Command) []wire.Command {
 	load := c.loads[machine.ID]
 	for _, taskID := range load.plannedTaskIDs() {
 		ref := load.tasks[taskID]
--- a/internal/controller/http_api.go
+++ b/internal/controller/http_api.go
@@ -16,7 +16,7 @@
 
 func (s *Server) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /checkin", s.heartbeat)
+	mux.HandleFunc("POST /checkin", s.handleHeartbeat)
 	mux.HandleFunc("POST /work", func(w http.ResponseWriter, r *http.Request) {
 		body, ok := readBody(w, r)
 		if ok {
@@ -44,10 +44,10 @@
 }
 
 // readBody reads a request's body, which may have at most limits.MaxBodyBytes. A body with a declared
-// length of up to limits.MaxPreallocatedBodyBytes is read into one buffer of that length: hundreds of reports
-// arrive in a second, and a buffer that grows costs several allocations for each report. For a longer
-// body the buffer grows as data arrives, because otherwise requests that declare a large length and send
-// nothing would take up memory. If the body cannot be read, readBody writes the error response and
+// length of up to limits.MaxPreallocatedBodyBytes is read into one buffer of that length: hundreds of
+// heartbeats arrive in a second, and a buffer that grows costs several allocations for each of them. For a
+// longer body the buffer grows as data arrives, because otherwise requests that declare a large length and
+// send nothing would take up memory. If the body cannot be read, readBody writes the error response and
 // returns false.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
 	bounded := http.MaxBytesReader(w, r.Body, limits.MaxBodyBytes)
@@ -94,25 +94,25 @@
 	writeAnswer(w, answer)
 }
 
-// checkin handles a worker's report.
-func (s *Server) heartbeat(w http.ResponseWriter, r *http.Request) {
+// handleHeartbeat passes a worker's heartbeat to the core and writes the core's answer. An answer that is
+// valid only until a given time is replaced by 503 once that time has passed.
+func (s *Server) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
 	body, ok := readBody(w, r)
 	if !ok {
 		return
 	}
-	report := &wire.Heartbeat{}
-	err := wire.Decode(body, report)
+	heartbeat := &wire.Heartbeat{}
+	err := wire.Decode(body, heartbeat)
 	if err == nil {
-		err = report.Validate()
+		err = heartbeat.Validate()
 	}
 	if err != nil {
-		s.log.Debug("invalid report of a worker", "error", err)
+		s.log.Debug("invalid heartbeat from a worker", "error", err)
 		writeAnswer(w, Answer{Status: 400})
 		return
 	}
-	answer, ok := s.callCore(func(ref uint64) Input { return HeartbeatRequest{ref, report} }, limits.EventLoopTimeout)
-	// An answer that is only valid until some time may have expired, if the process paused since the core
-	// returned it.
+	answer, ok := s.callCore(func(ref uint64) Input { return HeartbeatRequest{ref, heartbeat} }, limits.EventLoopTimeout)
+	// The answer may have expired if the process paused after the core returned the answer.
 	if !ok || (answer.Until > 0 && s.now().Steady >= answer.Until) {
 		answer = Answer{Status: 503}
 	}
@@ -134,10 +134,11 @@
 	w.Header().Set("Content-Type", "application/msgpack")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(answer.Status)
-	w.Write(body) //nolint: a client that has disconnected gets no response
+	w.Write(body) //nolint: an error means that the client has disconnected
 }
 
-// countedListener counts the connections that it accepts, and closes new ones at once when there are too many.
+// countedListener counts the connections that it accepts. When the server has no room for a connection, it
+// closes the new connection at once.
 type countedListener struct {
 	net.Listener
 	server *Server
@@ -150,7 +151,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return nil, err
 			}
-			time.Sleep(limits.TickInterval) // no socket is free; retry once other connections have closed
+			time.Sleep(limits.TickInterval) // no socket is free: wait until other connections have closed
 			continue
 		}
 		if !l.server.hasRoomForConnection() {
@@ -161,8 +162,8 @@
 	}
 }
 
-// hasRoomForConnection reports whether one more connection may be accepted. If there are too many, it
-// first closes the idle connections to workers.
+// hasRoomForConnection reports whether one more connection may be accepted. At the limit, it closes the idle
+// connections to workers to make room.
 func (s *Server) hasRoomForConnection() bool {
 	if s.inboundConns.Load()+s.orderConns.Load() < s.connectionLimit {
 		return true
--- a/internal/controller/http_client.go
+++ b/internal/controller/http_client.go
@@ -49,8 +49,9 @@
 	return status, answer
 }
 
-// doRequest is like request, and also reports whether the request was certainly not sent, because it could
-// not be created or no connection could be opened.
+// doRequest makes one HTTP request and returns the status and body of the response. Status 0 means that
+// there was no response. unsent reports whether the request was certainly not sent, because it could not be
+// created or no connection could be opened.
 func (s *Server) doRequest(client *http.Client, host, method, path string, body any, timeout time.Duration) (status int, answer []byte, unsent bool) {
 	ctx, cancel := context.WithTimeout(s.ctx, timeout)
 	defer cancel()
--- a/internal/controller/job_order.go
+++ b/internal/controller/job_order.go
@@ -24,7 +24,8 @@
 
 // completionTargets returns the times by which a job should be complete, in seconds after its
 // submission, earliest first. They come from the objectives of the job's class, as fixed times
-// or multiples of the job's deadline; without any, the deadline itself is the target.
+// or multiples of the job's deadline. If the class has no such objective, the deadline itself is
+// the target.
 func (c *Core) completionTargets(job *jobs.Job) []float64 {
 	var targets []float64
 	for _, objective := range c.settings.Cluster.Objectives {
@@ -78,7 +79,7 @@
 
 // startOverdue reports whether a job has waited so long for its first task that it is placed
 // before all other jobs of its team. Without this rule, large jobs starve: the other sort
-// criteria put a large job last as long as new jobs arrive.
+// criteria put a large job last for as long as new jobs arrive.
 func (c *Core) startOverdue(job *jobs.Job) bool {
 	return !job.Started && !job.Cancelled && !job.Faulty() && c.age(job.SubmitUnix) > limits.StartOverdueAfter
 }
@@ -94,7 +95,8 @@
 // sortedJobs returns the active jobs in scheduling order: first the jobs overdue to start,
 // oldest first; then the others by urgency. Within an urgency, jobs that can still meet a target
 // come first, least slack first; then the jobs that can't, least remaining work first, so that as
-// many late jobs as possible finish soon. The result is cached for JobSortInterval.
+// many late jobs as possible finish soon. The result is cached for JobSortInterval, or until
+// jobOrderStale is set.
 func (c *Core) sortedJobs() []*jobs.Job {
 	if !c.jobOrderStale && c.now.Steady < c.jobOrderAt+limits.JobSortInterval {
 		return c.jobOrder
@@ -110,8 +112,8 @@
 }
 
 // rankJobs computes the sort criteria of the active jobs. When there is far more work than
-// capacity, sorting by least slack would make one job after the other late; jobs that can still
-// meet a target are then sorted by least remaining work, too.
+// capacity, sorting by least slack would make one job after the other late. In that case, jobs
+// that can still meet a target are also sorted by least remaining work.
 func (c *Core) rankJobs() []rankedJob {
 	var ranked []rankedJob
 	demandCPUSeconds := 0.0
--- a/internal/controller/knowledge_log.go
+++ b/internal/controller/knowledge_log.go
@@ -13,7 +13,7 @@
 	longest       time.Duration
 }
 
-// recordStoreLatency counts a reply of the state service and logs it if it is slow. The content of a
+// recordStoreLatency counts a reply of the state service and logs it if it is slow. The state in a
 // reply may be as old as its call.
 func (c *Core) recordStoreLatency(reply StoreReply) {
 	call, sentAt, ok := c.store.InFlight(reply.ID)
@@ -36,7 +36,8 @@
 	return c.now.Steady - c.ownership.CancellationsKnownThrough()
 }
 
-// logFullReads logs each full read of the records, with the age of the state that it returned.
+// logFullReads logs each full read of the records, with the age of the state that the read
+// returned.
 func (c *Core) logFullReads() {
 	mirror := c.store.Mirror
 	if mirror.FullReads == c.loggedFullReads {
--- a/internal/controller/links.go
+++ b/internal/controller/links.go
@@ -17,13 +17,13 @@
 // it is nil unless the operator settings enable link monitoring.
 type linkMonitor struct {
 	monitor     *reachability.Monitor
-	cluster     *reachability.ViewSet
+	views       *reachability.ViewSet
 	node        string
 	incarnation uint64
 
 	pendingCalls    map[uint64]pendingCall     // calls to the state service and the cloud without a reply yet, by storeCallID or cloudCallID
 	lastPeerCall    uint64                     // sequence number of the last call to a peer
-	workerLinks     map[reachability.Link]bool // links to workers from which reports are expected
+	workerLinks     map[reachability.Link]bool // links to workers from which heartbeats are expected
 	nextView        time.Duration
 	nextTick        time.Duration
 	nextWorkerCheck time.Duration // time of the next suspendUnusedWorkerLinks
@@ -66,7 +66,7 @@
 	monitor := reachability.NewMonitor(linkSettings(settings), now)
 	monitor.Watch(stateWatches, 0, limits.WatchHold)
 	monitor.WatchIrregular(usersLink)
-	return &linkMonitor{monitor: monitor, cluster: reachability.NewViewSet(node, limits.ViewMaxAge), node: node, incarnation: incarnation, pendingCalls: map[uint64]pendingCall{}, workerLinks: map[reachability.Link]bool{}}
+	return &linkMonitor{monitor: monitor, views: reachability.NewViewSet(node, limits.ViewMaxAge), node: node, incarnation: incarnation, pendingCalls: map[uint64]pendingCall{}, workerLinks: map[reachability.Link]bool{}}
 }
 
 // linkSettings returns the built-in settings, overridden by those that the operator settings give.
@@ -75,7 +75,7 @@
 		Quantile:        limits.LinkQuantile,
 		SuspectFactor:   cmp.Or(overrides.SuspectFactor, limits.LinkSuspectFactor),
 		DownFactor:      limits.LinkDownFactor,
-		Slack:           limits.LinkFloor,
+		Slack:           limits.LinkSlack,
 		LossesForDown:   limits.LinkLossesForDown,
 		InitialLatency:  limits.SlowStoreReply,
 		RotateInterval:  limits.LinkRotateInterval,
@@ -166,20 +166,21 @@
 	l.monitor.Answered(call.link, id, now, status == http.StatusServiceUnavailable && !call.requestsMachine)
 }
 
-// recordPeerMessage records a peer's message that carries a view, and stores the view. From the first
-// view on, the peer is expected to send one every limits.ViewInterval. Messages without a view are
-// ignored: peers that run an older version or without link monitoring send no views.
+// recordPeerMessage records a peer's message that carries a view of the peer's links, and stores the
+// view. From the first view on, the peer is expected to send one every limits.ViewInterval. A message
+// without a view starts no such expectation: a peer that runs an older version or without link
+// monitoring never sends views.
 func (l *linkMonitor) recordPeerMessage(message PeerMessage, now time.Duration) {
 	if message.View == nil || message.View.Node != message.From {
 		return
 	}
 	l.monitor.Watch(peerLink(message.From), limits.ViewInterval, 0)
 	l.monitor.Received(peerLink(message.From), now)
-	l.cluster.Add(*message.View, now)
+	l.views.Add(*message.View, now)
 }
 
-// recordWorkerHeartbeat records a report from a worker of a class that this controller owns. The next
-// report over the same link is expected within interval.
+// recordWorkerHeartbeat records a heartbeat from a worker of a class that this controller owns. interval is
+// the gap between heartbeats that is assumed for the link until enough gaps are measured.
 func (l *linkMonitor) recordWorkerHeartbeat(class, zone string, interval, now time.Duration) {
 	if l == nil {
 		return
@@ -190,8 +191,8 @@
 	l.monitor.Received(link, now)
 }
 
-// suspendUnusedWorkerLinks stops expecting reports from a class and zone in which this controller no
-// longer has machines, because it does not own the class or has returned all of them.
+// suspendUnusedWorkerLinks stops expecting heartbeats from a class and zone in which this controller no
+// longer has machines, because it does not own the class or has returned all of the machines.
 func (c *Core) suspendUnusedWorkerLinks() {
 	links := c.links
 	if links == nil || c.now.Steady < links.nextWorkerCheck {
@@ -212,15 +213,15 @@
 	}
 }
 
-// recordPause excludes a pause of this process from the gaps and latencies of the links.
+// recordPause excludes a pause of this process from the measured silences of the links.
 func (l *linkMonitor) recordPause(pause time.Duration) {
 	if l != nil {
 		l.monitor.ExcludePause(pause)
 	}
 }
 
-// tick updates the states of the links, logs those that changed, and returns the view to send to
-// peers, or nil if none is due.
+// tick updates the states of the links, logs the changes, and returns the view to send to peers, or nil
+// if no view is due.
 func (l *linkMonitor) tick(now time.Duration, log func(slog.Level, string, ...any)) *reachability.View {
 	if l == nil || now < l.nextTick {
 		return nil
@@ -238,7 +239,7 @@
 		return nil
 	}
 	view := l.monitor.View(l.node, l.incarnation)
-	l.cluster.Add(view, now)
+	l.views.Add(view, now)
 	if now < l.nextView {
 		return nil
 	}
@@ -250,7 +251,7 @@
 type LinksReply struct {
 	Views []reachability.View
 	// StateLoss and WorkersLoss are the extents to which the controllers have lost the state service
-	// and the workers, as far as the replying controller can tell from the views.
+	// and the workers, according to the views that the replying controller has.
 	StateLoss, WorkersLoss reachability.LossExtent
 }
 
@@ -259,6 +260,6 @@
 	if l == nil {
 		return LinksReply{}, false
 	}
-	l.cluster.Add(l.monitor.View(l.node, l.incarnation), now)
-	return LinksReply{Views: l.cluster.Views(now), StateLoss: l.cluster.Loss(reachability.StateDependency, now), WorkersLoss: l.cluster.Loss(reachability.WorkersDependency, now)}, true
+	l.views.Add(l.monitor.View(l.node, l.incarnation), now)
+	return LinksReply{Views: l.views.Views(now), StateLoss: l.views.Loss(reachability.StateDependency, now), WorkersLoss: l.views.Loss(reachability.WorkersDependency, now)}, true
 }
--- a/internal/controller/links_test.go
+++ b/internal/controller/links_test.go
@@ -23,7 +23,7 @@
 // in the view of this controller.
 func (n *simNode) lossExtents() (state, workers reachability.LossExtent) {
 	now := n.core.now.Steady
-	return n.core.links.cluster.Loss(reachability.StateDependency, now), n.core.links.cluster.Loss(reachability.WorkersDependency, now)
+	return n.core.links.views.Loss(reachability.StateDependency, now), n.core.links.views.Loss(reachability.WorkersDependency, now)
 }
 
 // TestLinkMonitorClassifiesLoss cuts the owner off from the state service or from the workers, and
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -25,8 +25,8 @@
 	Zone       string
 	Spot       bool
 	RentedUnix int64 // Unix time of the rental, in seconds
-	// Up reports whether the machine has sent a report and may have tasks. Until then it is
-	// booting, and a takeover doesn't wait for it.
+	// Up means that the machine has sent a heartbeat and may have tasks. Until then it is booting,
+	// and a takeover doesn't wait for it.
 	Up bool
 	// Address is the address of the machine's worker. A new owner uses it if the worker doesn't
 	// report to that owner.
@@ -96,21 +96,21 @@
 	return machineRecord{Zone: kind.Zone, Spot: kind.Spot, RentedUnix: int64(c.now.Unix - age)}
 }
 
-// recordMachinesUp requests records, with Up set, for machines that have reported. A machine gets no
-// task before this record is stored.
+// recordMachinesUp requests records, with Up set, for machines whose task list is known to be
+// complete. A machine gets no task before this record is stored.
 func (c *Core) recordMachinesUp() {
-	for _, m := range c.pool.Sorted() {
-		if c.machineRecords[m.ID].Up || m.Deleting || !m.Adopted || c.recordRequested[m.ID] {
+	for _, machine := range c.pool.Sorted() {
+		if c.machineRecords[machine.ID].Up || machine.Deleting || !machine.Adopted || c.recordRequested[machine.ID] {
 			continue
 		}
 		since := c.now.Steady
-		if rental := c.fleet.Rentals[m.ID]; rental != nil {
+		if rental := c.fleet.Rentals[machine.ID]; rental != nil {
 			since = rental.RentedAt
 		}
-		record := c.newMachineRecord(rentalKind(m), since)
-		record.Up, record.Address = true, m.Address
-		c.recordRequested[m.ID] = true
-		c.machineTable.Set(m.Class, m.ID, record, 0)
+		record := c.newMachineRecord(rentalKind(machine), since)
+		record.Up, record.Address = true, machine.Address
+		c.recordRequested[machine.ID] = true
+		c.machineTable.Set(machine.Class, machine.ID, record, 0)
 	}
 }
 
@@ -132,7 +132,8 @@
 	}
 }
 
-// writeMachineTypes stores the types of owned classes that are not stored yet, in one transaction at a time.
+// writeMachineTypes stores the types of owned classes that are not stored yet, in one transaction
+// at a time.
 func (c *Core) writeMachineTypes() {
 	if c.savingTypes {
 		return
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -38,7 +38,8 @@
 		if c.ownership.MayLaunch() && !machine.Deleting {
 			c.returnIfUnusable(machine, massSilence && c.mayWaitForSilent(machine), c.presumedDead(machine, lastHeard, mostReported))
 		}
-		// Unassign the launches planned for a machine that has gone silent: none of them was sent.
+		// The tasks planned for a machine that is no longer usable are unassigned: their launches
+		// were not sent.
 		if load := c.loads[machine.ID]; load != nil && load.planned > 0 && !machine.Usable(now, c.pool.HeartbeatInterval) {
 			for _, taskID := range load.plannedTaskIDs() {
 				c.unassign(load.tasks[taskID].job, load.tasks[taskID].task)
@@ -65,9 +66,9 @@
 }
 
 // mayWaitForSilent reports whether the return of a silent machine may be delayed during a mass
-// silence. It may not be delayed after a takeover, when every job launched before waits for the
-// machine, nor while the cloud can supply other machines of its kind, on which its tasks continue
-// sooner.
+// silence, which is for at most MassSilenceLeases leases. It may not be delayed after a takeover,
+// when the jobs that an earlier owner launched wait for the machine, nor while the cloud can supply
+// other machines of its kind, on which its tasks continue sooner.
 func (c *Core) mayWaitForSilent(machine *workers.Machine) bool {
 	return !machine.Spot && !c.awaitedByTakeover(machine) && c.fleet.RecentlyRefused(fleet.Kind{Class: machine.Class, Zone: machine.Zone}) &&
 		c.now.Steady-machine.LastHeartbeat < limits.MassSilenceLeases*c.pool.LeaseDuration
@@ -84,12 +85,12 @@
 	return fleet.Kind{Class: machine.Class, Zone: machine.Zone, Spot: machine.Spot}
 }
 
-// holdsUnstoredResults reports whether a machine lists completions that are not durable yet. If it
-// were returned now, their tasks would have to run again.
+// holdsUnstoredResults reports whether a machine lists completed tasks whose completion is not
+// durable yet. If the machine were returned now, those tasks would have to run again.
 func (c *Core) holdsUnstoredResults(machine *workers.Machine) bool {
-	for _, report := range machine.Tasks {
-		if report.State == wire.TaskEnded && report.Cause == wire.CauseDone {
-			jobID, task := jobs.SplitTaskID(report.Task)
+	for _, status := range machine.Tasks {
+		if status.State == wire.TaskEnded && status.Cause == wire.CauseDone {
+			jobID, task := jobs.SplitTaskID(status.Task)
 			if job := c.jobs.Open[jobID]; job != nil && task >= 0 && task < job.Tasks && !job.IsDurable(task) {
 				return true
 			}
--- a/internal/controller/order_connections_test.go
+++ b/internal/controller/order_connections_test.go
@@ -30,7 +30,7 @@
 // sendTestOrder sends an empty order to a worker. It returns the status of the response, 0 if there was
 // none, and whether the order was certainly not sent.
 func (s *Server) sendTestOrder(address string) (status int, unsent bool) {
-	status, _, unsent = s.doRequest(s.workerClient, address, "POST", "/orders", wire.Orders{}, limits.DirectTimeout)
+	status, _, unsent = s.doRequest(s.workerClient, address, "POST", "/orders", wire.Orders{}, limits.DirectOrderTimeout)
 	return status, unsent
 }
 
--- a/internal/controller/owned_classes.go
+++ b/internal/controller/owned_classes.go
@@ -118,7 +118,7 @@
 
 // updateActiveJobs marks the jobs whose classes are all owned by this node as active. A job that an
 // earlier owner may have launched is frozen until every recorded machine that could run it is
-// resolved.
+// resolved, which means that the machine's tasks are known for certain.
 func (c *Core) updateActiveJobs() {
 	if !c.jobsChanged {
 		return
@@ -136,7 +136,7 @@
 		}
 		c.jobOrderStale = true
 		if job.MayHaveLaunched() {
-			c.lastRound = nil // the set of tasks that may run unreported has changed
+			c.lastRound = nil // the set of tasks that may be running without having been reported has changed
 		}
 	}
 	for _, class := range slices.Sorted(maps.Keys(c.unresolvedClasses)) {
--- a/internal/controller/peer_messages.go
+++ b/internal/controller/peer_messages.go
@@ -10,10 +10,10 @@
 )
 
 // PeerMessage is a message from one controller to another. Probe asks whether the peer reaches the
-// state service. Visited asks whether workers of other owners' classes report to the peer. Promise
-// requests an extension: the peer's promise not to take over the classes in Terms. Any other message
-// carries job counts for display, cancellations that were confirmed to users, faulty jobs, or a view
-// of the links.
+// state service. Visited asks whether the peer receives heartbeats for classes that it doesn't own.
+// Promise requests an extension: the peer agrees not to take over the classes in Terms. Any other
+// message carries job counts for display, cancellations that were confirmed to users, faulty jobs,
+// or a view of the links.
 type PeerMessage struct {
 	From      string
 	Probe     bool
@@ -22,17 +22,17 @@
 	Terms     map[string]uint64
 	Counts    map[string][2]int
 	Cancelled []string
-	// Faulty are jobs whose tasks failed on every machine that was tried. Versions without the field
-	// ignore it.
+	// Faulty are jobs whose tasks failed on every machine that was tried. Versions without the
+	// field ignore it.
 	Faulty []string
 	// View is the sender's view of its links. Versions without the field ignore it.
 	View *reachability.View
 }
 
 // PeerAnswer is the answer to a PeerMessage. If an extension was requested, it also carries the
-// cancellations that the peer has recorded. Vouch reports that Cancelled contains every cancellation
-// that the peer, in this or an earlier run of its process, confirmed to users, and every one that
-// any controller confirmed until Behind before the answer.
+// cancellations that the peer has recorded. Vouch means that Cancelled contains every cancellation
+// that the peer, in this or an earlier incarnation, confirmed to users, and every cancellation that
+// any controller had confirmed to users by the time Behind before the answer.
 type PeerAnswer struct {
 	Yes       bool
 	Vouch     bool
@@ -41,9 +41,9 @@
 	// Faulty are jobs that earlier owners reported to the peer as faulty and that the message did
 	// not list. Versions without the field ignore it.
 	Faulty []string
-	// Uptime is how long the peer's process has run, if an extension was requested. An earlier run
-	// of that process may have succeeded the sender as owner without this run remembering it.
-	// Versions without the field ignore it.
+	// Uptime is how long the peer's process has run, if an extension was requested. An earlier
+	// incarnation of the peer may have taken over from the sender, and the present one may have no
+	// record of that. Versions without the field ignore it.
 	Uptime time.Duration
 }
 
@@ -62,7 +62,7 @@
 		c.nextStoreProbe = now + limits.ExtensionInterval
 		c.messageAll(PeerMessage{Probe: true})
 	}
-	// No worker has reached this owner for a while: find a peer that workers reach.
+	// If no worker has reached this owner for a while, it looks for a peer that workers reach.
 	if len(c.activeTerms) > 0 && now-max(c.lastArrival, c.heartbeatsResumedAt) > c.maxHeartbeatGap()/2 && now >= c.nextArrivalQuery {
 		c.nextArrivalQuery = now + limits.ExtensionInterval
 		c.messageAll(PeerMessage{Visited: true})
@@ -82,19 +82,19 @@
 }
 
 // sendCounts sends peers the changed progress counts of the active jobs, and the faulty jobs. A new
-// owner always sends a message, even an empty one: the answers list the jobs that earlier owners
+// owner always sends a message, even without content: the answers list the jobs that earlier owners
 // reported as faulty.
 func (c *Core) sendCounts() {
 	counts, current := map[string][2]int{}, map[string][2]int{}
 	var faulty []string
-	for id, j := range c.jobs.Open {
-		if !j.Active {
+	for id, job := range c.jobs.Open {
+		if !job.Active {
 			continue
 		}
-		if j.Faulty() && !j.Cancelled {
+		if job.Faulty() && !job.Cancelled {
 			faulty = append(faulty, id)
 		}
-		count := [2]int{j.DoneCount, j.Running()}
+		count := [2]int{job.DoneCount, job.Running()}
 		current[id] = count
 		if c.sentCounts[id] != count {
 			counts[id] = count
@@ -130,7 +130,7 @@
 	for id, count := range request.Msg.Counts {
 		c.jobs.SetDisplayCounts(id, count[0], count[1])
 	}
-	// Without this, every new owner started the first wave of a faulty job's tasks again.
+	// Without this, every new owner would start the first wave of a faulty job's tasks again.
 	c.jobs.MarkFaulty(request.Msg.Faulty)
 	c.outputs = append(c.outputs, Answer{Ref: request.Ref, Status: 200, Body: PeerAnswer{Yes: true, Faulty: c.jobs.MarkedFaulty(request.Msg.Faulty)}})
 }
@@ -166,9 +166,9 @@
 	}
 }
 
-// sendCancelNotices sends new cancellations directly to the owners of classes, and repeats them until
-// they are acknowledged. Without this, an owner that the state service refuses would not see the
-// cancellations and would go on starting tasks of those jobs.
+// sendCancelNotices sends new cancellations directly to the owners of classes, and repeats them
+// until they are acknowledged. Without this, an owner whose requests the state service refuses
+// would not see the cancellations and would go on starting tasks of those jobs.
 func (c *Core) sendCancelNotices() {
 	now := c.now.Steady
 	if ids := c.jobs.TakeNewCancellations(); len(ids) > 0 {
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -61,7 +61,7 @@
 func (s *Server) servePeers(listener net.Listener) {
 	server := rpc.NewServer()
 	if err := server.Register(&Peer{s}); err != nil {
-		s.log.Error("peer service", "error", err)
+		s.log.Error("cannot register the peer service", "error", err)
 		return
 	}
 	for {
@@ -77,8 +77,9 @@
 	}
 }
 
-// peerClient makes calls to another controller. All calls share one connection, which is opened by the
-// first call and closed when a call fails. At most limits.MaxPeerCalls calls are in progress at a time.
+// peerClient makes calls to another controller. All calls share one connection. A failed call closes the
+// connection, and the next call opens a new one. At most limits.MaxPeerCalls calls are in progress at a
+// time.
 type peerClient struct {
 	addr         string
 	mu           sync.Mutex
@@ -133,7 +134,8 @@
 	return *result, nil
 }
 
-// callPeer makes a call to a peer and sends the result to the event loop as a PeerReply for caller.
+// callPeer makes a call to a peer and queues the result for the event loop as a PeerReply. caller is the
+// core that requested the call.
 func (s *Server) callPeer(call PeerCall, caller *Core) {
 	client := s.peers[call.Peer]
 	if client == nil {
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -18,10 +18,11 @@
 	tasks     map[string]uint64 // the attempts to be stopped, by task ID
 }
 
-// holdPreempted reserves the machines with preempted tasks for the jobs that wait for them. A
-// preemption is removed when it expires, when its job no longer waits, or when enough tasks have
-// ended. It returns, by job, the number of machines that are still being freed.
-func (c *Core) holdPreempted(machines []*allocation.Machine, heldMachines map[string]bool) (pending map[string]int) {
+// reservePreempted reserves the machines with preempted tasks for the jobs that wait for them. It
+// removes a preemption when it has expired, when its machine is no longer available, when its job
+// no longer waits, or when enough of the preempted tasks have ended. It returns, by job, the
+// number of machines that are still being freed.
+func (c *Core) reservePreempted(machines []*allocation.Machine, reserved map[string]bool) (pending map[string]int) {
 	pending = map[string]int{}
 	if len(c.preemptions) == 0 {
 		return pending
@@ -38,7 +39,7 @@
 			continue
 		}
 		machineByID[machineID].Reserve(entry.job)
-		heldMachines[machineID] = true
+		reserved[machineID] = true
 		for task, attempt := range entry.tasks {
 			placed, ok := c.loads[machineID].tasks[task]
 			if !ok || placed.job.Assigned[placed.task].Attempt != attempt {
@@ -59,8 +60,9 @@
 	return pending
 }
 
-// preemptBorrowed preempts tasks, after an allocation run, for units that are entitled to the
-// resources that other teams have borrowed.
+// preemptBorrowed chooses, after an allocation run, the tasks to preempt for units that are
+// entitled to the resources that other teams have borrowed. The replies to heartbeats order the
+// tasks to stop (see mustPreempt).
 func (c *Core) preemptBorrowed(round *schedulingRound, machines []*allocation.Machine, pending map[string]int) {
 	steadyNow := c.now.Steady
 	if steadyNow < c.nextPreemption {
@@ -86,8 +88,8 @@
 	}
 }
 
-// anyMayPreempt reports whether any waiting unit may be entitled to resources that other tasks
-// use. Faulty jobs never preempt: all their tasks are counted as pending.
+// anyMayPreempt reports whether any waiting unit may be entitled to resources that other teams'
+// tasks use. Faulty jobs never preempt: all their waiting tasks are counted as pending.
 func (c *Core) anyMayPreempt(round *schedulingRound, pending map[string]int) bool {
 	found := false
 	for _, team := range round.teams {
@@ -102,9 +104,9 @@
 	return found
 }
 
-// preemptibleTasks returns the running tasks that save checkpoints, which lose only the time to
-// save and restart when they are stopped, as candidates for preemption. The ID of a candidate is
-// its index in tasks.
+// preemptibleTasks returns the candidates for preemption: running tasks that save checkpoints.
+// When such a task is stopped, only the time to save and restart is lost. The ID of a candidate
+// is its index in tasks.
 func (c *Core) preemptibleTasks(machines []*allocation.Machine) (candidates []allocation.Preemptible, tasks []taskRef) {
 	machineByID := make(map[string]*allocation.Machine, len(machines))
 	for _, machine := range machines {
--- a/internal/controller/renewals.go
+++ b/internal/controller/renewals.go
@@ -12,16 +12,16 @@
 	"umberpaddle/internal/workers"
 )
 
-// renewalCounts counts the answers to reports of machines of the classes that this node owns, by
-// what the report proved and by why the answer was allowed or withheld.
+// renewalCounts counts the answers to heartbeats of machines of owned classes, by what the
+// heartbeat proved and by why the answer was allowed or withheld.
 type renewalCounts struct {
-	Current   int // answered with 200: the report's task list is current
-	Overtaken int // answered with 200: the report is older than the answer to an order
+	Current   int // answered with 200: the heartbeat's task list is current
+	Overtaken int // answered with 200: the heartbeat is older than the answer to an order
 	Unproven  int // answered with 200: the worker had not seen this owner's fencing token
 	Bounded   int // of the renewals: limited in time by an order that may start a cancelled task
 	Stopping  int // of the renewals: with stops of cancelled tasks
 	Withheld  int // refused: an order may start a cancelled task, and the lease would end too late
-	// FenceHeld counts the reports whose answer waited until the worker had seen this owner's
+	// FenceHeld counts the heartbeats whose answer waited until the worker had seen this owner's
 	// fencing token, since an earlier owner's order may start a cancelled task. Fenced of them were
 	// then answered with 200, and NotFenced were refused. FenceOrders counts the fences that were
 	// sent for them, and FenceLeases the machines whose lease ended after such a refusal.
@@ -31,26 +31,26 @@
 	Violations int
 }
 
-// renew answers a report of a machine of an owned class with 200, which restarts the machine's
-// lease. Every 200 to a report must go through renew. Otherwise successive owners may each renew a
-// machine without stopping its tasks, because its report proves nothing to them yet, and a
-// cancelled task keeps running.
-func (c *Core) renew(checkin HeartbeatRequest, machine *workers.Machine, reportVerdict workers.Verdict) {
-	renewal := c.buildRenewal(machine, checkin.Heartbeat, reportVerdict)
-	verdict := c.renewalRules.DecideRenewal(renewal)
+// renew decides on the answer to a heartbeat of a machine of an owned class: 200, which restarts
+// the machine's lease, a refusal, or a fence first. Every 200 to a heartbeat must go through renew.
+// Otherwise successive owners may each renew a machine without stopping its tasks, because its
+// heartbeat proves nothing to them yet, and a cancelled task keeps running.
+func (c *Core) renew(request HeartbeatRequest, machine *workers.Machine, verdict workers.Verdict) {
+	renewal := c.buildRenewal(machine, request.Heartbeat, verdict)
+	decision := c.renewalRules.DecideRenewal(renewal)
 	switch {
-	case verdict.FenceFirst:
-		c.holdForFence(checkin, machine, verdict)
+	case decision.FenceFirst:
+		c.holdForFence(request, machine, decision)
 		return
-	case !verdict.Renew:
-		c.withholdRenewal(checkin, machine, verdict)
+	case !decision.Renew:
+		c.withholdRenewal(request, machine, decision)
 		return
 	}
 	machine.NotFenced = false
-	body := wire.HeartbeatReply{FencingToken: machine.Term, Commands: verdict.Stops}
-	if reportVerdict == workers.Current {
+	body := wire.HeartbeatReply{FencingToken: machine.Term, Commands: decision.Stops}
+	if verdict == workers.Current {
 		c.schedulingDue = true
-		body.Commands = c.currentCommands(machine)
+		body.Commands = c.buildAnswerCommands(machine)
 	}
 	if body.Commands == nil {
 		body.Commands = []wire.Command{}
@@ -58,37 +58,38 @@
 	if err := c.renewalRules.CheckAnswer(renewal, body.Commands); err != nil {
 		c.renewals.Violations++
 		c.log(slog.LevelError, "renewal withheld: it would leave a cancelled task running", "machine", machine.ID, "session", machine.Incarnation, "term", machine.Term, "error", err)
-		c.refuseHeartbeat(checkin)
+		c.refuseHeartbeat(request)
 		return
 	}
-	c.countRenewal(machine, reportVerdict, verdict, renewal.MustStop)
+	c.countRenewal(machine, verdict, decision, renewal.MustStop)
 	// The server checks Until when it sends the answer. Without that check, a node that is paused
 	// between this step and the send would renew the lease too late.
-	c.outputs = append(c.outputs, Answer{Ref: checkin.Ref, Status: 200, Body: body, Until: verdict.Deadline})
+	c.outputs = append(c.outputs, Answer{Ref: request.Ref, Status: 200, Body: body, Until: decision.Deadline})
 }
 
 // withholdRenewal refuses to renew a machine's lease. The machine keeps its tasks until the lease
 // ends.
-func (c *Core) withholdRenewal(checkin HeartbeatRequest, machine *workers.Machine, verdict authority.Decision) {
+func (c *Core) withholdRenewal(request HeartbeatRequest, machine *workers.Machine, decision authority.Decision) {
 	c.renewals.Withheld++
-	c.log(slog.LevelInfo, "renewal withheld", "machine", machine.ID, "session", machine.Incarnation, "term", machine.Term, "reason", string(verdict.Reason), "attempt", verdict.Cause.String(), "job", verdict.CauseJob)
-	c.refuseHeartbeat(checkin)
+	c.log(slog.LevelInfo, "renewal withheld", "machine", machine.ID, "session", machine.Incarnation, "term", machine.Term, "reason", string(decision.Reason), "attempt", decision.Cause.String(), "job", decision.CauseJob)
+	c.refuseHeartbeat(request)
 }
 
-// currentCommands returns the commands for a machine whose report is current.
-func (c *Core) currentCommands(machine *workers.Machine) []wire.Command {
+// buildAnswerCommands updates the assignments from a current heartbeat, assigns waiting tasks to
+// the machine, and returns the commands for the answer.
+func (c *Core) buildAnswerCommands(machine *workers.Machine) []wire.Command {
 	commands := c.reconcile(machine, nil, false)
 	if c.ownership.MayLaunch() {
 		c.allocateOnMachine(machine)
-		commands = c.launchCommands(machine, commands)
+		commands = c.appendLaunchCommands(machine, commands)
 		commands = c.repeatLaunches(machine, commands)
 	}
 	return commands
 }
 
 // countRenewal counts a renewal, and logs it if it stops tasks or is limited in time.
-func (c *Core) countRenewal(machine *workers.Machine, reportVerdict workers.Verdict, verdict authority.Decision, stopped []authority.Attempt) {
-	switch reportVerdict {
+func (c *Core) countRenewal(machine *workers.Machine, verdict workers.Verdict, decision authority.Decision, stopped []authority.Attempt) {
+	switch verdict {
 	case workers.Unproven:
 		c.renewals.Unproven++
 	case workers.Overtaken:
@@ -100,19 +101,19 @@
 		c.renewals.Stopping++
 		c.log(slog.LevelDebug, "tasks stopped", "machine", machine.ID, "stops", len(stopped), "first", stopped[0].String())
 	}
-	if verdict.Reason == authority.InTime {
+	if decision.Reason == authority.InTime {
 		c.renewals.Bounded++
 	}
-	if verdict.Reason != authority.NothingCancelled {
-		c.log(slog.LevelDebug, "renewed", "machine", machine.ID, "session", machine.Incarnation, "term", machine.Term, "proved", reportVerdict.String(), "reason", string(verdict.Reason))
+	if decision.Reason != authority.NothingCancelled {
+		c.log(slog.LevelDebug, "renewed", "machine", machine.ID, "session", machine.Incarnation, "term", machine.Term, "proved", verdict.String(), "reason", string(decision.Reason))
 	}
 }
 
-// buildRenewal returns the input for the decision whether to answer a machine's report with 200.
-func (c *Core) buildRenewal(machine *workers.Machine, report *wire.Heartbeat, reportVerdict workers.Verdict) authority.RenewalInput {
-	tasks := report.Tasks
-	if reportVerdict == workers.Overtaken {
-		tasks = machine.Tasks // newer than the report
+// buildRenewal returns the input for the decision whether to answer a machine's heartbeat with 200.
+func (c *Core) buildRenewal(machine *workers.Machine, heartbeat *wire.Heartbeat, verdict workers.Verdict) authority.RenewalInput {
+	tasks := heartbeat.Tasks
+	if verdict == workers.Overtaken {
+		tasks = machine.Tasks // newer than the heartbeat
 	}
 	renewal := authority.RenewalInput{
 		Now:            c.now.Steady,
@@ -121,8 +122,8 @@
 		MustStop:       c.listedToStop(tasks),
 		MayStart:       c.possibleStarts(machine, tasks),
 	}
-	if reportVerdict == workers.Unproven {
-		renewal.EarlierOrders = c.earlierOrders(machine, report.FencingToken)
+	if verdict == workers.Unproven {
+		renewal.EarlierOrders = c.earlierOrders(machine, heartbeat.FencingToken)
 	}
 	return renewal
 }
@@ -130,10 +131,10 @@
 // earlierOrders returns the cancelled jobs for which an earlier owner may have sent the machine an
 // order that is still outstanding. token is the highest fencing token that the worker has seen.
 //
-// An owner sends orders only to machines that are recorded and that have reported the owner's term
-// as their highest token. So any order that the worker may still carry out was sent under the
-// reported term or a later one, and no owner launches tasks of a job that was cancelled before its
-// term began.
+// An owner sends orders only to machines that are recorded as up and that have named the owner's
+// term as the highest fencing token they have seen. So any order that the worker may still carry
+// out was sent under the term that equals token or a later one, and no owner launches tasks of a
+// job that was cancelled before its term began.
 func (c *Core) earlierOrders(machine *workers.Machine, token uint64) (orders []authority.EarlierOrder) {
 	if !c.machineRecords[machine.ID].Up {
 		return nil
@@ -147,15 +148,15 @@
 }
 
 // listedToStop returns the listed attempts that have not ended and must be stopped: those of
-// cancelled jobs, and those that belong to no known task.
+// cancelled jobs, and those that belong to no task of an open job.
 func (c *Core) listedToStop(tasks []wire.TaskStatus) (attempts []authority.Attempt) {
-	for _, report := range tasks {
-		if report.State == wire.TaskEnded {
+	for _, status := range tasks {
+		if status.State == wire.TaskEnded {
 			continue
 		}
-		jobID, task := jobs.SplitTaskID(report.Task)
+		jobID, task := jobs.SplitTaskID(status.Task)
 		if job := c.jobs.Open[jobID]; job == nil || job.Cancelled || task < 0 || task >= job.Tasks {
-			attempts = append(attempts, authority.Attempt{Task: report.Task, Number: report.Attempt})
+			attempts = append(attempts, authority.Attempt{Task: status.Task, Number: status.Attempt})
 		}
 	}
 	return attempts
@@ -164,7 +165,9 @@
 // possibleStarts returns the attempts of cancelled jobs that the machine does not list and that an
 // order of this owner, outstanding or never answered, may still start. An order cannot start an
 // attempt that the machine lists: a worker ignores the launch of an attempt that it already has,
-// and an ended attempt is not cleared while an order for it is unanswered.
+// and an ended attempt is not cleared while an order for it is unanswered. The orders are taken
+// from the machine and not from the jobs' assignments, because assignments are lost when a job's
+// record is read again, and the order would then be missed.
 func (c *Core) possibleStarts(machine *workers.Machine, tasks []wire.TaskStatus) (starts []authority.PossibleStart) {
 	if len(machine.Orders) == 0 {
 		return nil
@@ -175,9 +178,9 @@
 			continue
 		}
 		jobID, _ := jobs.SplitTaskID(order.Task)
-		acknowledgedAfter, cancelled := c.orderCancellation(jobID, order)
+		confirmedAfter, cancelled := c.orderCancellation(jobID, order)
 		if cancelled {
-			starts = append(starts, authority.PossibleStart{Attempt: authority.Attempt{Task: order.Task, Number: number}, ConfirmedAfter: acknowledgedAfter})
+			starts = append(starts, authority.PossibleStart{Attempt: authority.Attempt{Task: order.Task, Number: number}, ConfirmedAfter: confirmedAfter})
 		}
 	}
 	return starts
@@ -185,8 +188,8 @@
 
 // containsAttempt reports whether a task list contains an attempt, in any state.
 func containsAttempt(tasks []wire.TaskStatus, task string, number uint64) bool {
-	for _, report := range tasks {
-		if report.Task == task && report.Attempt == number {
+	for _, status := range tasks {
+		if status.Task == task && status.Attempt == number {
 			return true
 		}
 	}
@@ -194,10 +197,9 @@
 }
 
 // orderCancellation reports whether the job of an order is cancelled, and returns the earliest time
-// at which a user can have received the confirmation. It uses the order's own record instead of the
-// job's assignments, because assignments are lost when the job's record is read again, and the
-// order would then be missed.
-func (c *Core) orderCancellation(jobID string, order *workers.Order) (acknowledgedAfter time.Duration, cancelled bool) {
+// at which the cancellation can have been confirmed to a user. A job that is neither open nor done
+// counts as cancelled, with a confirmation at any time in the past.
+func (c *Core) orderCancellation(jobID string, order *workers.Order) (confirmedAfter time.Duration, cancelled bool) {
 	if job := c.jobs.Open[jobID]; job != nil {
 		return job.CancelConfirmedAfter, job.Cancelled
 	}
--- a/internal/controller/rental_plan.go
+++ b/internal/controller/rental_plan.go
@@ -21,7 +21,7 @@
 	c.logUsage()
 	machines, capacity, unresolved := c.availableMachines(true)
 	teams := c.teamDemands(true, unresolved)
-	machines = append(machines, c.bootingMachines()...) // counted before new machines are rented
+	machines = append(machines, c.bootingMachines()...) // units are placed on them before new machines are rented
 	used := map[string]bool{}
 	for _, placement := range allocation.Run(teams, machines, capacity, c.largestUnits()) {
 		used[placement.Machine.ID] = true
@@ -40,7 +40,8 @@
 	}
 }
 
-// bootingMachines returns the rented machines that are still booting, with their full capacity.
+// bootingMachines returns the rented machines of owned classes that are still booting, with their
+// full capacity.
 func (c *Core) bootingMachines() []*allocation.Machine {
 	var machines []*allocation.Machine
 	booting := c.fleet.Booting()
@@ -89,7 +90,8 @@
 	}
 }
 
-// planTaskRentals plans rentals for one unit's tasks and returns the team's resulting total use.
+// planTaskRentals plans rentals for one unit's tasks. It returns total, the resources that the
+// team uses, plus those of the tasks placed on rentals.
 func (c *Core) planTaskRentals(plan *rentalPlan, team *allocation.Team, unit *allocation.Unit, total allocation.Resources, missing shortfall) allocation.Resources {
 	for ; unit.Count > 0 && withinTeamLimit(team, total, unit.Need); unit.Count-- {
 		if !c.placeOnRentals(unit, missing, plan) {
@@ -108,8 +110,8 @@
 	return !exceeds(total.CPUs+more.CPUs, team.MaxCPUs) && !exceeds(total.GPUs+more.GPUs, team.MaxGPUs)
 }
 
-// shortfall is the number of additional CPUs that a job's work and all work before it need:
-// to finish on time with a margin, and to finish just on time.
+// shortfall is the number of additional CPUs that a job's work and all work before it need to
+// finish on time with a margin, and to finish just on time.
 type shortfall struct{ withMargin, onTime float64 }
 
 // shortfalls computes the shortfall of each job. It uses a fluid model of the work: C CPUs now
@@ -152,7 +154,7 @@
 			t := max(secondsLeft*share-job.EstimateS/2, bootS+limits.MinUsefulRental.Seconds())
 			return (workBefore - capacityCPUs*t) / (t - bootS)
 		}
-		result[job.ID] = shortfall{withMargin: additionalCPUs(limits.WithMarginShare), onTime: additionalCPUs(limits.OnTimeShare)}
+		result[job.ID] = shortfall{withMargin: additionalCPUs(limits.FinishWithMarginShare), onTime: additionalCPUs(limits.FinishOnTimeShare)}
 	}
 	return result
 }
@@ -163,7 +165,8 @@
 	counts        map[fleet.Kind]int
 	rentedCPUs    float64 // total of the rentals planned for units
 	firstWithRoom int     // rentals before this index can't fit the current unit
-	// refused lists units that need more machines of classes that the cloud has run out of.
+	// refusedUnits lists the units that need more machines to finish on time, but for which none
+	// could be planned because the cloud has run out of their classes or the plan is full.
 	refusedUnits []*allocation.Unit
 }
 
@@ -199,9 +202,9 @@
 	p.counts[kind]++
 }
 
-// rentForSmallTasks plans machines that take small tasks off scarce classes, which the cloud
-// has run out of. Large tasks may fit on no other class, while small tasks that occupy a scarce
-// class could also run elsewhere.
+// rentForSmallTasks plans spot machines for small tasks that occupy scarce classes, which the
+// cloud has run out of. The small tasks could also run on other classes, while large tasks may
+// fit only on a scarce class.
 func (c *Core) rentForSmallTasks(plan *rentalPlan, machines []*allocation.Machine) {
 	scarceClasses, lackedCPUs := plan.scarceClasses()
 	clear(c.keptIdleClasses)
@@ -226,8 +229,8 @@
 }
 
 // movableCPUs returns the CPUs on scarce classes that are used by tasks of jobs that may also
-// use the given class, minus the free CPUs of that class. If there is such a job, the idle
-// machines of the given class are marked to be kept.
+// use the given class, minus the free CPUs of that class. If any active job may use spot
+// machines of the given class, the idle machines of that class are marked to be kept.
 func (c *Core) movableCPUs(class string, scarceClasses map[string]bool, machines []*allocation.Machine) float64 {
 	movable := 0.0
 	for _, job := range c.jobs.Open {
@@ -249,10 +252,10 @@
 	return movable
 }
 
-// placeOnRentals puts one task of a unit on a planned rental. If none has room, it plans the
-// cheapest suitable machine, provided the job's shortfall justifies it: spot machines are rented
-// to finish with a margin, on-demand machines for a unit that may use spot only to finish just
-// on time.
+// placeOnRentals puts one task of a unit on a planned rental. If none has enough free resources,
+// it plans the cheapest suitable machine, provided the job's shortfall justifies it. Spot machines
+// are rented to finish with a margin. On-demand machines are rented only to finish just on time,
+// or with a margin if the unit may not use spot machines.
 func (c *Core) placeOnRentals(unit *allocation.Unit, missing shortfall, plan *rentalPlan) bool {
 	if plan.place(unit) {
 		return true
@@ -314,9 +317,9 @@
 	return kinds
 }
 
-// placeGangOnRentals puts a whole gang on planned rentals, or none of it, because the existing
-// machines have room for a part of the gang at best. It ignores the gang's deadline, because no
-// task of a gang can proceed before all tasks have a machine.
+// placeGangOnRentals puts a whole gang on planned rentals, or none of it. It leaves out the
+// existing machines, which can take a part of the gang at best. It ignores the gang's deadline,
+// because no task of a gang can proceed before all tasks have a machine.
 func (c *Core) placeGangOnRentals(gang *allocation.Unit, plan *rentalPlan) bool {
 	rentalsBefore, countsBefore, rentedCPUsBefore := len(plan.rentals), maps.Clone(plan.counts), plan.rentedCPUs
 	task := *gang
@@ -324,7 +327,7 @@
 	for range gang.Count {
 		plan.firstWithRoom = 0
 		if !c.placeOnRentals(&task, unbounded, plan) {
-			// Rentals added for this gang are dropped: no other unit needs them.
+			// The rentals added for this gang are dropped, because no other unit requested them.
 			plan.rentals, plan.counts, plan.rentedCPUs = plan.rentals[:rentalsBefore], countsBefore, rentedCPUsBefore
 			return false
 		}
@@ -335,9 +338,9 @@
 	return true
 }
 
-// idleLimit returns how long a machine of a class may be idle before it is returned. Keeping an
-// idle machine for the boot time of its replacement costs at most twice the optimum with
-// hindsight.
+// idleLimit returns how long a machine of a class may be idle before it is returned. Unless the
+// operator sets a time, it follows from the boot time of the class: keeping an idle machine for
+// the boot time of its replacement costs at most twice the optimum with hindsight.
 func (c *Core) idleLimit(class string) time.Duration {
 	if c.operator.IdleReturnS > 0 {
 		return limits.Seconds(c.operator.IdleReturnS)
@@ -357,9 +360,9 @@
 		if rental == nil || machine.Deleting || !machine.Adopted {
 			continue
 		}
-		// Classes that take small tasks off scarce classes keep their idle machines. Without
-		// this rule, hundreds of these machines were returned in an incident, with the images
-		// on them, and rented again a few seconds later.
+		// Classes that can take small tasks off scarce classes keep their idle machines.
+		// Without this rule, hundreds of these machines are returned, with the images on them,
+		// and rented again a few seconds later.
 		if c.tasksOn(machine.ID) > 0 || used[machine.ID] || c.gangOnlyMachines[machine.ID] || c.keptIdleClasses[machine.Class] || c.holdsUnstoredResults(machine) {
 			rental.IdleSince = 0
 			continue
--- a/internal/controller/resources.go
+++ b/internal/controller/resources.go
@@ -23,7 +23,7 @@
 	HeapBytes   uint64  // bytes of heap objects that the last garbage collection found live
 	Goroutines  uint64  // goroutines of the process
 	Connections int64   // open connections on the API port and to workers
-	GCShare     float64 // fraction of the processor time since the last check that the garbage collector used
+	GCShare     float64 // the garbage collector's fraction of the processor time used since the last check
 }
 
 // ResourceCounters count how often a controller was near a budget. They never decrease.
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -12,17 +12,17 @@
 	"umberpaddle/internal/workers"
 )
 
-// nextAttempt returns an attempt number that is unique across owners and restarts of
-// this process: the term is in the upper bits, a counter in the lower ones.
+// nextAttempt returns an attempt number that no other owner and no other incarnation of this
+// process uses: the term is in the upper bits, a counter in the lower ones.
 func (c *Core) nextAttempt(class string) uint64 {
 	c.attemptCounter++
-	return c.activeTerms[class]<<limits.AttemptBits | c.attemptCounter&(1<<limits.AttemptBits-1)
+	return c.activeTerms[class]<<limits.AttemptCounterBits | c.attemptCounter&(1<<limits.AttemptCounterBits-1)
 }
 
 // availableMachines returns the machines on which tasks may be placed, with their free
 // resources, and the total capacity of each class. For fleet planning (forFleetPlan) it also
-// returns machines that may not receive tasks yet. unresolved is the capacity of the machines
-// whose running tasks are unknown.
+// returns machines that may not receive tasks yet. unresolved is the total capacity of the
+// machines whose running tasks are unknown.
 func (c *Core) availableMachines(forFleetPlan bool) (machines []*allocation.Machine, capacity map[string]allocation.Resources, unresolved allocation.Resources) {
 	capacity = map[string]allocation.Resources{}
 	sorted := c.pool.Sorted()
@@ -58,8 +58,8 @@
 	for machineType, count := range counts {
 		capacity[machineType.Name] = allocation.Resources{}.Add(typeCapacity(machineType), count)
 	}
-	// Spot machines come first because they are cheaper: the expensive machines become idle and
-	// can be returned.
+	// Spot machines come first because they are cheaper: the more expensive on-demand machines
+	// become idle and can be returned.
 	return append(machines, onDemand...), capacity, unresolved
 }
 
@@ -164,7 +164,7 @@
 	case job.Faulty():
 		unit.Count = min(unit.Count, limits.MaxFaultyJobTasks-len(job.Assigned))
 	case c.startOverdue(job):
-		// Priority over other jobs lasts only until the job's first task has started.
+		// A job is overdue only until its first task has started; then it loses this priority.
 		unit.Overdue = true
 		unit.ExcludedMachines = job.FailedOn
 		unit.Count = min(unit.Count, limits.MaxOverdueStartTasks-len(job.Assigned))
@@ -185,8 +185,8 @@
 	if (job.DeadlineS > 0 && risk > limits.MaxDeadlineSpotRisk) || risk > limits.MaxSpotRisk {
 		return true
 	}
-	// Without this check, a batch of a hundred long tasks misses its target when a single task
-	// is lost with its spot machine and has to restart.
+	// Without this check, a job of a hundred long tasks misses its target when a single task is
+	// lost with its spot machine and has to restart.
 	secondsLeft, canMeetTarget := c.timeLeft(job)
 	longRunS := limits.EstimateErrorFactor * job.EstimateS
 	canRedo := secondsLeft >= 2*longRunS+limits.RedoSlack.Seconds()
@@ -208,17 +208,17 @@
 }
 
 // schedulingRound is the teams' part of the last full allocation run. It is kept to fill the
-// resources that a single report frees before the next run.
+// resources that a single heartbeat frees before the next run.
 type schedulingRound struct {
 	teams             []*allocation.Team
 	capacity, largest map[string]allocation.Resources
-	held              map[string]bool // machines reserved for overdue units or for jobs that preempt tasks
+	reserved          map[string]bool // IDs of machines reserved for overdue units or for jobs that preempt tasks
 }
 
-// allocate assigns waiting tasks to machines. The assignments are sent directly or with the
-// response to each machine's next report. A run over all machines and jobs takes a millisecond
-// in a large fleet, so there is at most one every SchedulingInterval; resources that a single report
-// frees in between are filled immediately by allocateOnMachine.
+// allocate assigns waiting tasks to machines. The assignments are sent as direct orders or in the
+// reply to each machine's next heartbeat. A run over all machines and jobs takes a millisecond in
+// a large fleet, so there is at most one every SchedulingInterval. Resources that a single
+// heartbeat frees in between are allocated immediately by allocateOnMachine.
 func (c *Core) allocate() {
 	if !c.schedulingDue || !c.ownership.MayLaunch() || c.now.Steady < c.nextRound {
 		return
@@ -230,8 +230,8 @@
 	c.reserveForGangs(machines)
 	newRound := &schedulingRound{teams: c.teamDemands(false, unresolved), capacity: capacity, largest: c.largestUnits()}
 	c.lastRound = newRound
-	newRound.held = allocation.ReserveForOverdue(newRound.teams, machines, 1+int(limits.MaxHeldShare*float64(len(machines))))
-	pending := c.holdPreempted(machines, newRound.held)
+	newRound.reserved = allocation.ReserveForOverdue(newRound.teams, machines, 1+int(limits.MaxHeldShare*float64(len(machines))))
+	pending := c.reservePreempted(machines, newRound.reserved)
 	c.runAllocation(newRound, machines)
 	c.preemptBorrowed(newRound, machines, pending)
 	c.sendDirectLaunches()
@@ -253,11 +253,11 @@
 	}
 }
 
-// allocateOnMachine fills the free resources of one machine with units that the last full
+// allocateOnMachine allocates the free resources of one machine to units that the last full
 // allocation run left waiting.
 func (c *Core) allocateOnMachine(machine *workers.Machine) {
 	machineType := c.fleet.Types[machine.Class]
-	if c.lastRound == nil || c.lastRound.held[machine.ID] || machineType == nil || !c.machineRecords[machine.ID].Up || !machine.Usable(c.now.Steady, c.pool.HeartbeatInterval) {
+	if c.lastRound == nil || c.lastRound.reserved[machine.ID] || machineType == nil || !c.machineRecords[machine.ID].Up || !machine.Usable(c.now.Steady, c.pool.HeartbeatInterval) {
 		return
 	}
 	waiting := false
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -76,8 +76,9 @@
 	return uint64(s.settings.Cluster.Resources.RAMMB * (1 << 20) * limits.HeapLimitShare)
 }
 
-// idleTimeout returns how long a client connection may stay open without a request. Without it, workers
-// that reconnect after network failures and leave their old connections open would use up the sockets.
+// idleTimeout returns how long a client connection may stay open without a request. Without this timeout,
+// workers that reconnect after several network failures and leave their old connections open would use up
+// the sockets.
 func (s *Server) idleTimeout() time.Duration {
 	return max(limits.UserIdleTimeout, limits.Seconds(limits.IdleHeartbeats*s.settings.Cluster.Workers.HeartbeatS))
 }
@@ -87,9 +88,9 @@
 	return Now{Steady: current.Sub(s.start), Unix: float64(current.UnixNano()) / 1e9}
 }
 
-// ConfigureRuntime sets up the Go runtime for a small machine. One thread runs Go code at a time, the
-// heap is limited to heapLimit because memory is scarce, and collections are rarer than by default while
-// the heap is far below that limit.
+// ConfigureRuntime sets up the Go runtime for a small machine that runs one thread at a time and has little
+// memory. The heap is limited to heapLimit, and garbage collections are rarer than by default while the
+// heap is far below that limit.
 func (s *Server) ConfigureRuntime() {
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(int64(s.heapLimit()))
@@ -111,8 +112,8 @@
 	var cancel context.CancelFunc
 	s.ctx, cancel = context.WithCancel(ctx)
 	defer cancel()
-	// TCP keep-alive is off: setting it up costs four system calls for each connection, and after a
-	// restart hundreds of workers and users reconnect. The server's timeouts close dead connections.
+	// TCP keep-alive is off: setting it up costs four system calls for each connection, and hundreds of
+	// workers and users reconnect after a restart. The server's timeouts close dead connections.
 	listenConfig := net.ListenConfig{KeepAlive: -1}
 	apiListener, err := listenConfig.Listen(s.ctx, "tcp4", s.settings.APIAddr)
 	if err != nil {
@@ -134,8 +135,8 @@
 	ticker := time.NewTicker(limits.TickInterval)
 	defer ticker.Stop()
 	for {
-		// All other events go before status queries. Otherwise reports, leases and submissions would
-		// wait behind status queries, which are many times as frequent.
+		// All other events go before status queries. Otherwise heartbeats, lease renewals and
+		// submissions would wait behind status queries, which are many times as frequent.
 		select {
 		case event := <-s.inbox:
 			s.handle(event)
@@ -168,8 +169,8 @@
 
 // handle passes one event to the core and performs the actions that the core returns.
 func (s *Server) handle(event inboxEvent) {
-	// A reply to a call of a core that has been replaced after a fault is dropped: the new core numbers
-	// its calls from the start again and would take the reply for one to a call of its own.
+	// A reply to a call of a core that has been replaced after a fault is dropped. The new core numbers
+	// its calls from the start again, and would take this reply for the reply to one of its own calls.
 	if event.caller != nil && event.caller != s.core {
 		return
 	}
@@ -203,7 +204,7 @@
 			go func() {
 				status, body, unsent := 0, []byte(nil), true
 				if s.now().Steady < action.Until {
-					status, body, unsent = s.doRequest(s.workerClient, action.Address, "POST", "/orders", action.Body, limits.DirectTimeout)
+					status, body, unsent = s.doRequest(s.workerClient, action.Address, "POST", "/orders", action.Body, limits.DirectOrderTimeout)
 				}
 				s.send(inboxEvent{input: DirectReply{action.ID, status, body, unsent}, caller: caller})
 			}()
--- a/internal/controller/silence.go
+++ b/internal/controller/silence.go
@@ -7,7 +7,9 @@
 	"umberpaddle/internal/workers"
 )
 
-// recordHeartbeatTime records the time of an accepted report, for the detection of silent machines.
+// recordHeartbeatTime records the time of an accepted heartbeat or answer to a probe, for the
+// detection of silent machines. alreadyReported is set if the machine has reported under the
+// current term before.
 func (c *Core) recordHeartbeatTime(machine *workers.Machine, alreadyReported bool) {
 	now := c.now.Steady
 	if now-c.lastHeartbeat > c.maxHeartbeatGap() {
@@ -19,22 +21,23 @@
 	}
 }
 
-// maxHeartbeatGap returns the longest time without any report from a large number of machines that is
-// still normal.
+// maxHeartbeatGap returns the longest time without any heartbeat from a large number of machines
+// that is still normal.
 func (c *Core) maxHeartbeatGap() time.Duration {
 	return max(limits.UnreachableFloor, time.Duration(limits.UnreachableHeartbeats*float64(c.pool.HeartbeatInterval)))
 }
 
 // silenceDuration returns for how long a machine has been silent while other machines reported.
 // Time in which no machine reported does not count: otherwise an owner that was cut off from all
-// workers would, on receiving the first report again, return all other machines with their tasks.
+// workers would, on receiving the first heartbeat again, return all other machines with their
+// tasks.
 func (c *Core) silenceDuration(machine *workers.Machine) time.Duration {
 	return c.now.Steady - max(machine.LastHeartbeat, c.heartbeatsResumedAt)
 }
 
-// reachableSuccessor returns the peer that most recently received reports for classes that it
-// doesn't own, or "" if there was none lately. Workers of this node's classes can probably reach
-// that peer.
+// reachableSuccessor returns the peer that most recently confirmed that it receives heartbeats for
+// classes that it doesn't own, or "" if there was none lately. Workers of this node's classes can
+// probably reach that peer.
 func (c *Core) reachableSuccessor() string {
 	best := ""
 	for _, peer := range c.settings.Others {
@@ -48,15 +51,15 @@
 // workersUnreachable reports whether no worker reaches this owner any more, although enough of its
 // machines are recorded as up. An owner that is cut off from its workers keeps its classes as long
 // as it reaches the state service, so without this check all machines lose their tasks. An owner
-// that has received no report since it claimed a class waits longer, because the workers' reports
-// may still be pending at the previous owner. It doesn't wait longer if a peer already receives
-// reports for classes of other nodes.
+// that has received no heartbeat since it claimed a class waits longer, because the workers'
+// heartbeats may still be pending at the previous owner. It doesn't wait longer if a peer already
+// receives heartbeats for classes that the peer doesn't own.
 func (c *Core) workersUnreachable() bool {
 	if len(c.activeTerms) == 0 || !c.ownership.LeaseValid() {
 		return false
 	}
-	// lastArrival includes the reports refused during a state service outage without peer promises:
-	// they show that workers reach this node.
+	// lastArrival includes the heartbeats that were refused during an outage of the state service
+	// without an extension: they show that workers reach this node.
 	lastHeard, wait := c.lastArrival, c.maxHeartbeatGap()
 	for class := range c.activeTerms {
 		if claim := c.ownership.Claims()[class]; claim != nil && claim.Since > lastHeard {
@@ -80,8 +83,8 @@
 
 // massSilence reports whether many on-demand machines are silent at once. The cloud does not recall
 // on-demand machines, so they are hung or partitioned and may recover, some within their lease, and
-// a deleted machine may be impossible to replace. Without this check, half the fleet was returned
-// 11 s into such a silence.
+// a deleted machine may be impossible to replace. Without this check, an owner returned half the
+// fleet 11 s into such a silence.
 func (c *Core) massSilence() bool {
 	total, silent := 0, 0
 	for _, machine := range c.pool.Machines {
@@ -111,21 +114,22 @@
 	return float64(reported) >= limits.TakeoverReportedShare*float64(total)
 }
 
-// presumedDead reports whether a silent machine is to be deleted: the deletion proves it empty
-// sooner than its lease would. No machine is presumed dead while all are silent, since the fault
-// then lies with this node. After a takeover, the jobs of the earlier owner wait for every machine,
-// so a machine that has not reported to the new owner when most others have is given up sooner.
+// presumedDead reports whether a silent machine is to be deleted. The deletion proves sooner than
+// the end of the lease that no task runs on the machine. No machine is presumed dead while all are
+// silent, since the fault then lies with this node. After a takeover, the jobs of the earlier owner
+// wait for every machine, so a machine that has not reported to the new owner when most others have
+// is given up sooner.
 func (c *Core) presumedDead(machine *workers.Machine, lastHeard time.Duration, mostReported bool) bool {
 	now := c.now.Steady
 	if now-lastHeard >= 2*c.pool.HeartbeatInterval {
 		return false
 	}
-	// The condition also holds for a machine whose report this owner answered once and that has
-	// been silent since. Otherwise a takeover would wait three report intervals for machines lost
-	// in the middle of it.
+	// The shorter wait also applies to a machine whose heartbeat the new owner answered once and
+	// that has been silent since. Otherwise a takeover would wait three heartbeat intervals for a machine that
+	// was lost during the takeover.
 	if c.awaitedByTakeover(machine) && c.silenceDuration(machine) > c.pool.HeartbeatInterval*5/4+limits.TakeoverSlack {
-		// While other machines still report for the first time, this one may just be slow to find
-		// the new owner.
+		// While other machines still report for the first time, this machine may just be slow to
+		// find the new owner.
 		if now-c.lastMachineJoined < limits.TakeoverSettleTime {
 			return false
 		}
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -549,10 +549,10 @@
 	serveUnanswered := func() { serve(func(int, []byte) {}) }
 	if sim.chance(sim.lateOrderRate) { // the orders are delayed and the call gets no answer
 		sim.schedule(sim.randomDuration(0, 4*sim.cfg.leaseS), serveUnanswered)
-		sim.schedule(limits.DirectTimeout, func() { step(DirectReply{ID: call.ID}) })
+		sim.schedule(limits.DirectOrderTimeout, func() { step(DirectReply{ID: call.ID}) })
 		return
 	}
-	sim.call(n.label, machine.id, limits.DirectTimeout, serve, func(status int, reply []byte) {
+	sim.call(n.label, machine.id, limits.DirectOrderTimeout, serve, func(status int, reply []byte) {
 		step(DirectReply{ID: call.ID, Status: status, Body: reply})
 	})
 	if sim.chance(sim.repeatedOrderRate) { // a second delivery of the same orders
--- a/internal/controller/task_ends.go
+++ b/internal/controller/task_ends.go
@@ -9,10 +9,11 @@
 	"umberpaddle/internal/workers"
 )
 
-// handleEndedTask processes the end of an attempt. The worker may forget the attempt only after its
-// outcome is durable; only completions have an outcome to store.
-func (c *Core) handleEndedTask(machine *workers.Machine, job *jobs.Job, taskID string, task int, report wire.TaskStatus, commands []wire.Command, mayClear bool) []wire.Command {
-	mayClear = mayClear && c.mayClear(machine, job, report)
+// handleEndedTask processes the end of an attempt, and returns commands, with a clear appended if
+// the worker may forget the attempt. A completion must be durable before that, unless the job is
+// cancelled; other ends have no outcome to store.
+func (c *Core) handleEndedTask(machine *workers.Machine, job *jobs.Job, taskID string, task int, status wire.TaskStatus, commands []wire.Command, mayClear bool) []wire.Command {
+	mayClear = mayClear && c.mayClear(machine, job, status)
 	if !mayClear {
 		machine.EndedTasks[taskID] = true
 	}
@@ -20,31 +21,31 @@
 	switch {
 	case job == nil:
 		forget = c.store.Mirror.Loaded
-	case report.Cause == wire.CauseDone:
-		c.handleCompletion(machine, job, task, report)
+	case status.Cause == wire.CauseDone:
+		c.handleCompletion(machine, job, task, status)
 		forget = job.IsDurable(task) || job.Cancelled
 	default:
-		c.handleUnfinishedEnd(machine, job, task, report)
+		c.handleUnfinishedEnd(machine, job, task, status)
 		forget = true
 	}
 	if forget && mayClear {
-		commands = append(commands, wire.Command{Verb: wire.VerbClear, Task: taskID, Attempt: report.Attempt})
+		commands = append(commands, wire.Command{Verb: wire.VerbClear, Task: taskID, Attempt: status.Attempt})
 	}
 	return commands
 }
 
-// assignedHere reports whether a reported attempt is the one that the task is assigned to.
-func assignedHere(machine *workers.Machine, job *jobs.Job, task int, report wire.TaskStatus) bool {
+// assignedHere reports whether a listed attempt is the one that is assigned for the task.
+func assignedHere(machine *workers.Machine, job *jobs.Job, task int, status wire.TaskStatus) bool {
 	assignment, ok := job.Assigned[task]
-	return ok && assignment.Machine == machine.ID && assignment.Attempt == report.Attempt
+	return ok && assignment.Machine == machine.ID && assignment.Attempt == status.Attempt
 }
 
 // handleCompletion processes a completed task, whichever attempt completed it.
-func (c *Core) handleCompletion(machine *workers.Machine, job *jobs.Job, task int, report wire.TaskStatus) {
+func (c *Core) handleCompletion(machine *workers.Machine, job *jobs.Job, task int, status wire.TaskStatus) {
 	if job.Gang {
-		c.recordGangTaskEnd(job, report)
+		c.recordGangTaskEnd(job, status)
 	}
-	if assignment, ok := job.Assigned[task]; ok && (assignedHere(machine, job, task, report) || assignment.State == jobs.Planned) {
+	if assignment, ok := job.Assigned[task]; ok && (assignedHere(machine, job, task, status) || assignment.State == jobs.Planned) {
 		c.unassign(job, task)
 	}
 	if !job.Done.Has(task) {
@@ -56,24 +57,26 @@
 }
 
 // handleUnfinishedEnd processes an attempt that ended without completing its task.
-func (c *Core) handleUnfinishedEnd(machine *workers.Machine, job *jobs.Job, task int, report wire.TaskStatus) {
-	if !assignedHere(machine, job, task, report) {
+func (c *Core) handleUnfinishedEnd(machine *workers.Machine, job *jobs.Job, task int, status wire.TaskStatus) {
+	if !assignedHere(machine, job, task, status) {
 		return
 	}
 	if job.Gang {
-		c.recordGangTaskEnd(job, report)
+		c.recordGangTaskEnd(job, status)
 	}
-	if assignedHere(machine, job, task, report) {
+	if assignedHere(machine, job, task, status) {
 		c.unassign(job, task)
 	}
-	c.log(slog.LevelDebug, "attempt ended", "task", report.Task, "machine", machine.ID, "cause", report.Cause, "attempt", report.Attempt)
-	if report.Cause == wire.CauseError {
+	c.log(slog.LevelDebug, "attempt ended", "task", status.Task, "machine", machine.ID, "cause", status.Cause, "attempt", status.Attempt)
+	if status.Cause == wire.CauseError {
 		c.attributeFailure(machine, job)
 	}
 }
 
-// attributeFailure attributes a failed task to the machine if tasks of jobs that succeed elsewhere
-// fail on it, or to the job if it fails on several machines.
+// attributeFailure attributes a failed task to the job if the job is faulty: its tasks failed on
+// several machines and none succeeded. Otherwise the failure counts against the machine. A machine
+// is faulty after FaultyMachineFailures counted failures, if they are of several jobs or of a job
+// that has completed a task.
 func (c *Core) attributeFailure(machine *workers.Machine, job *jobs.Job) {
 	wasFaulty := job.Faulty()
 	job.FailedOn[machine.ID] = true
@@ -86,8 +89,8 @@
 			}
 		}
 		// Tasks that were started together fail together, which counts as one try. Otherwise the
-		// job would back off for a minute after its first try, although the machines may have been
-		// at fault.
+		// job would back off for a minute after its first try, although the machines may be the
+		// cause.
 		if c.now.Steady >= job.NotBefore {
 			job.Backoff = min(max(2*job.Backoff, limits.FaultyJobBackoffBase), limits.FaultyJobBackoffMax)
 			job.NotBefore = c.now.Steady + job.Backoff
--- a/internal/controller/usage_log.go
+++ b/internal/controller/usage_log.go
@@ -15,25 +15,25 @@
 	c.nextUsageLog = c.now.Steady + limits.UsageLogInterval
 	cpusByState := map[jobs.TaskState]float64{}
 	idle, free, waiting := 0.0, 0.0, 0.0
-	for _, m := range c.pool.Machines {
-		machineType := c.fleet.Types[m.Class]
-		if machineType == nil || !m.Adopted {
+	for _, machine := range c.pool.Machines {
+		machineType := c.fleet.Types[machine.Class]
+		if machineType == nil || !machine.Adopted {
 			continue
 		}
 		unused := machineType.CPUs
-		for _, placed := range c.loadOf(m.ID).tasks {
-			cpusByState[placed.job.Assigned[placed.task].State] += placed.job.CPUs
-			unused -= placed.job.CPUs
+		for _, ref := range c.loadOf(machine.ID).tasks {
+			cpusByState[ref.job.Assigned[ref.task].State] += ref.job.CPUs
+			unused -= ref.job.CPUs
 		}
-		if c.tasksOn(m.ID) == 0 {
+		if c.tasksOn(machine.ID) == 0 {
 			idle += unused
 		} else {
 			free += unused
 		}
 	}
-	for _, j := range c.jobs.Open {
-		if j.Active && !j.Cancelled {
-			waiting += float64(j.Waiting()) * j.CPUs
+	for _, job := range c.jobs.Open {
+		if job.Active && !job.Cancelled {
+			waiting += float64(job.Waiting()) * job.CPUs
 		}
 	}
 	booting := 0
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -8,7 +8,8 @@
 	"umberpaddle/internal/wire"
 )
 
-// rentalPrefix returns the name prefix of all machines that this run of the process rents.
+// rentalPrefix returns the name prefix of all machines that this incarnation of the controller
+// rents.
 func rentalPrefix(label string, incarnation uint64) string {
 	return "up-" + label + "-" + strconv.FormatUint(incarnation, 36)
 }
@@ -33,8 +34,8 @@
 }
 
 // submit validates a submission and passes it to the job registry. It doesn't validate a known job
-// again: settings and machine types may have changed since, and an earlier version may have accepted
-// a form that this version rejects.
+// again: settings and machine types may have changed since, and an earlier version may have
+// accepted a form that this version rejects.
 func (c *Core) submit(request Submit) {
 	submission, err := wire.ParseSubmission(request.Body)
 	switch {
@@ -66,9 +67,9 @@
 	c.jobs.Submit(c.now.Steady, &job, func(a jobs.Answer) { c.answer(request.Ref, a) })
 }
 
-// refuseIfUnknown refuses a submission permanently, but only after the state service confirms that no
-// such job exists. Without this check, the repeated submission of a job that had been accepted under
-// other settings or by an earlier version was refused from memory.
+// refuseIfUnknown refuses a submission permanently, but only after the state service confirms that
+// no such job exists. Without this check, if a job was accepted under other settings or by an
+// earlier version and is not in this node's memory, its repeated submission would be refused.
 func (c *Core) refuseIfUnknown(ref uint64, id string, refusal jobs.Answer) {
 	c.jobs.Query(c.now.Steady, id, func(answer jobs.Answer) {
 		if answer.Status == 404 {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,8 +1,8 @@
 // Package fleet rents machines from the cloud and returns them. It reads the
 // cloud's machine types, prices and machine lists, sends rental and deletion
-// requests, and marks machines for deletion that failed or never came up. It is
-// a state machine without I/O: it returns the calls to make, and receives their
-// replies and the time as arguments.
+// requests, and marks machines for deletion that failed, never came up or are no
+// longer listed. It is a state machine without I/O: it returns the calls to make,
+// and receives their replies and the time as arguments.
 package fleet
 
 import (
@@ -48,19 +48,19 @@
 }
 
 // Rental is a machine known from a rental request, a list, a stored record or a
-// report.
+// heartbeat.
 type Rental struct {
 	ID               string
 	Kind             Kind
 	RentedAt         time.Duration      // when it was rented, on this process's steady clock
-	TrackedSince     time.Duration      // when this process began to wait for its reports
+	TrackedSince     time.Duration      // when this process began to wait for its first heartbeat
 	ListedStatus     wire.MachineStatus // its status in the last list that contained it
 	LastListedAt     time.Duration      // when a list last contained it; 0: never
-	Up               bool               // its worker has reported to this process
-	WasUp            bool               // its worker reported to an earlier owner
+	Up               bool               // its worker has sent a heartbeat to this process or answered its probe
+	WasUp            bool               // it was up under an earlier owner
 	Deleting         bool               // marked for deletion; removed once the cloud confirms it
-	deletionInFlight bool               // a deletion request for it is in flight
-	IdleSince        time.Duration      // since when it has nothing to do; 0: busy
+	deletionInFlight bool               // a deletion request for it has no reply yet
+	IdleSince        time.Duration      // when it was first found idle; 0: it is not idle
 }
 
 // Manager holds the rented machines, and the calls to the cloud that are in
@@ -79,15 +79,15 @@
 	pausedUntil     time.Duration
 	listLag         time.Duration
 
-	// HeartbeatTimeout is how long a machine may take to report after this process
-	// began to track it.
+	// HeartbeatTimeout is how long a machine may take to send its first heartbeat
+	// after this process began to track it.
 	HeartbeatTimeout time.Duration
-	// TakeoverTimeout is how long a machine that is up may take to report to a
-	// new owner.
+	// TakeoverTimeout is how long a machine that is up may take to send its first
+	// heartbeat to a new owner.
 	TakeoverTimeout time.Duration
 	// spotLosses and spotHours count the spot machines lost and the hours that
-	// spot machines ran. Both decay exponentially, so that their ratio is the
-	// current rate of losses per hour.
+	// spot machines ran. Both decay exponentially, so that their ratio follows the
+	// recent rate of losses per hour.
 	spotLosses, spotHours float64
 	riskUpdatedAt         time.Duration
 
@@ -103,7 +103,7 @@
 	readingTypes     bool
 	nextListAt       time.Duration
 	readingList      bool
-	HasFullList      bool                          // a complete list has been read since this process started
+	HasFullList      bool                          // a complete list has been read since New
 	partialList      map[string]wire.ListedMachine // the pages read so far of the list being read
 	listStartedAt    time.Duration
 	OnDeleted        func(id string) // called when the cloud has confirmed a deletion
@@ -117,8 +117,8 @@
 }
 
 // New returns a Manager. requestPrefix starts the names of its rental requests, which
-// the cloud uses to recognize a retry. It must be unique to this run of this
-// node.
+// the cloud uses to recognize a retry. No other incarnation of any node may ever use
+// the same prefix.
 func New(rps, listLagS float64, requestPrefix string, log func(slog.Level, string, ...any)) *Manager {
 	// The budget allows one call at once: a node accepts no jobs before it has read
 	// the machine types.
@@ -137,8 +137,9 @@
 	return names
 }
 
-// IsDeleted reports whether the cloud confirmed a machine's deletion in the last 20
-// minutes. A late report or list must not add such a machine again.
+// IsDeleted reports whether the cloud has confirmed a machine's deletion. A late
+// heartbeat or list must not add such a machine again. Deletions are kept for at
+// least 20 minutes.
 func (m *Manager) IsDeleted(id string) bool { _, ok := m.deletedAt[id]; return ok }
 
 // Track returns the rental of a machine and adds it if it is missing. It returns
@@ -152,6 +153,7 @@
 	return rental
 }
 
+// call adds a call to those that Tick returns. done receives the reply.
 func (m *Manager) call(method, path string, body any, done func(int, []byte)) {
 	m.budget--
 	m.lastCallID++
@@ -173,6 +175,8 @@
 	done(status, body)
 }
 
+// mayCall reports whether a call to the cloud may be made now: the budget allows one,
+// there is no pause after an error, and fewer than four calls are in flight.
 func (m *Manager) mayCall() bool {
 	return m.budget >= 1 && m.now >= m.pausedUntil && len(m.replyHandlers) < 4
 }
@@ -235,7 +239,7 @@
 }
 
 // deleteAll marks machines for deletion in the order of their names, so that the
-// order of log lines does not depend on the iteration order of a map.
+// order of log lines does not depend on the order of iteration over a map.
 func (m *Manager) deleteAll(ids []string, reason ReturnReason) {
 	sort.Strings(ids)
 	for _, id := range ids {
@@ -243,6 +247,8 @@
 	}
 }
 
+// requestDeletions sends a deletion request for the machines that are marked for
+// deletion and have no request in flight, at most limits.MaxDeletionsPerRequest.
 func (m *Manager) requestDeletions() {
 	if !m.deletionsPending || !m.mayCall() {
 		return
@@ -278,11 +284,12 @@
 	})
 }
 
+// confirmDeletion removes a machine whose deletion the cloud has confirmed.
 func (m *Manager) confirmDeletion(id string) {
 	delete(m.Rentals, id)
 	m.deletedAt[id] = m.now
 	for deletedID, at := range m.deletedAt {
-		// No list or report lags by more than 20 minutes.
+		// No list or heartbeat lags by more than 20 minutes.
 		if m.now-at > 20*time.Minute {
 			delete(m.deletedAt, deletedID)
 		}
@@ -322,6 +329,7 @@
 	m.sendRental(request)
 }
 
+// sendRental sends a rental request, for the first time or as a retry.
 func (m *Manager) sendRental(request *rentalRequest) {
 	kind := request.kind
 	delete(m.unconfirmed, request.payload.Request)
@@ -349,6 +357,8 @@
 	})
 }
 
+// retryRentals sends the rental requests without an answer again, in the order of their
+// names.
 func (m *Manager) retryRentals() {
 	for _, name := range slices.Sorted(maps.Keys(m.unconfirmed)) {
 		if m.mayCall() {
@@ -368,6 +378,8 @@
 	return k.Spot && !other.Spot
 }
 
+// readList requests the next page of the list of machines, if a list is due or partly
+// read. The pages are merged once the last one has arrived.
 func (m *Manager) readList() {
 	if m.readingList || !m.mayCall() || (m.partialList == nil && m.now < m.nextListAt) {
 		return
@@ -418,8 +430,9 @@
 		if _, ok := m.partialList[rental.ID]; ok {
 			continue
 		}
-		// The cloud promises that a machine that was listed and no longer is has
-		// been deleted. A new machine may be missing for twice the lag.
+		// The cloud guarantees that a machine that was listed once and is no longer
+		// listed has been deleted. A new machine may be missing from lists for twice
+		// the lag, so a machine that was never listed is given one lag more.
 		if rental.LastListedAt != 0 && m.listStartedAt-rental.LastListedAt > 2*m.listLag+limits.MachineListInterval || rental.LastListedAt == 0 && m.listStartedAt-rental.RentedAt > 3*m.listLag+limits.MachineListInterval && !rental.Up {
 			unlisted = append(unlisted, rental.ID)
 		}
@@ -429,9 +442,9 @@
 }
 
 // DeleteDeadRentals marks the machines for deletion that failed or never came up.
-// reportsArrive reports whether this node receives workers' reports, and
-// reportsSince is since when it does.
-func (m *Manager) DeleteDeadRentals(reportsArrive bool, reportsSince time.Duration) {
+// receivingHeartbeats reports whether heartbeats of workers arrive at this node, and
+// receivingSince is when they began to arrive after the last gap.
+func (m *Manager) DeleteDeadRentals(receivingHeartbeats bool, receivingSince time.Duration) {
 	m.updateRisk()
 	var failed, neverUp []string
 	for _, rental := range m.Rentals {
@@ -450,15 +463,15 @@
 		waitingSince := rental.TrackedSince
 		if rental.WasUp || rental.ListedStatus == wire.MachineRunning {
 			// The machine was up, so it may still run and only fail to reach this
-			// node. Without this check, a new owner that no worker could reach
-			// returned the whole fleet.
-			if !reportsArrive {
+			// node. Without this check, a new owner that no worker can reach would
+			// return the whole fleet.
+			if !receivingHeartbeats {
 				continue
 			}
-			waitingSince = max(waitingSince, reportsSince)
+			waitingSince = max(waitingSince, receivingSince)
 		}
 		// Without the check of waitingSince, a takeover would return running
-		// machines only because they have not reported to the new owner yet.
+		// machines only because they have not sent a heartbeat to the new owner yet.
 		if m.now-rental.RentedAt > boot+limits.BootSlack && m.now-waitingSince > m.HeartbeatTimeout {
 			neverUp = append(neverUp, rental.ID)
 		}
@@ -468,9 +481,9 @@
 }
 
 // Booting returns, for each kind, how many machines are requested or rented but not
-// up yet. A machine that was up and has not reported to the new owner within
+// up yet. A machine that was up and has sent the new owner no heartbeat within
 // TakeoverTimeout is not counted. If it were, no replacements would be rented when
-// half of a fleet is cut off while its owner fails.
+// half of a fleet becomes unreachable while its owner fails.
 func (m *Manager) Booting() map[Kind]int {
 	counts := map[Kind]int{}
 	for _, rental := range m.Rentals {
@@ -487,8 +500,8 @@
 	return counts
 }
 
-// RecordSpotLoss records that the cloud recalled a spot machine or that it fell
-// silent.
+// RecordSpotLoss records that the cloud recalled a spot machine, or that a spot
+// machine is presumed dead after missed heartbeats.
 func (m *Manager) RecordSpotLoss() { m.spotLosses++ }
 
 // updateRisk adds the time since the last update to the record of spot losses and
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -9,7 +9,7 @@
 	"umberpaddle/internal/wire"
 )
 
-// encode returns value as the cloud sends it.
+// encode returns value in the encoding of the cloud's replies.
 func encode(t *testing.T, value any) []byte {
 	t.Helper()
 	encoded, err := wire.Encode(value)
@@ -37,9 +37,9 @@
 	return calls
 }
 
-// TestUnansweredCallsAreRetried checks that a rental without an answer is retried under
-// its name and counted meanwhile, and that a deletion is retried until the cloud
-// confirms it.
+// TestUnansweredCallsAreRetried checks that a rental request without an answer is retried
+// under its name and counted meanwhile, that a deletion is retried until the cloud
+// confirms it, and that a machine that never comes up is marked for deletion.
 func TestUnansweredCallsAreRetried(t *testing.T) {
 	manager := New(10, 4, "p", func(slog.Level, string, ...any) {})
 	var deleted []string
@@ -112,8 +112,9 @@
 }
 
 // TestUnreachableMachinesAreNotBooting checks that a machine that was up under an
-// earlier owner and has not reported to this one in time does not count as booting,
-// while a new machine still does. Otherwise no replacement is rented for it.
+// earlier owner and has sent no heartbeat to this one in time does not count as
+// booting, while a new machine still does. If the unreachable machine counted, no
+// replacement would be rented for it.
 func TestUnreachableMachinesAreNotBooting(t *testing.T) {
 	manager := New(10, 4, "p", func(slog.Level, string, ...any) {})
 	manager.TakeoverTimeout = 8 * time.Second
--- a/internal/jobs/answers.go
+++ b/internal/jobs/answers.go
@@ -38,8 +38,9 @@
 	return &waiter{jobID: job, arrivedAfter: r.store.LastCallID(), deadline: r.now + wait, reply: reply}
 }
 
-// answer sends an answer that can't be stale: one that doesn't depend on the job's state, or the
-// job's final state, which never changes.
+// answer sends an answer unless one was sent before. Callers other than answerFromRead pass only
+// answers that can't be stale: those that don't depend on the job's state, and the job's final
+// state, which never changes.
 func (w *waiter) answer(a Answer) {
 	if !w.answered {
 		w.answered = true
@@ -55,10 +56,10 @@
 func (r stateRead) isFreshFor(w *waiter) bool { return r.call > w.arrivedAfter }
 
 // answerFromRead answers with the state of a job that a read found unfinished or unknown. Every
-// such state reaches users through this method, which enforces two rules: if this node has received
-// the job's final state meanwhile, it answers with that; and it withholds a state that was read
-// before the request arrived. Callers start a new read for a request for which theirs is not fresh,
-// so a withheld answer is a bug in this program.
+// such state reaches users through this method, which enforces two rules. If this node has received
+// the job's final state meanwhile, the answer is the final state. A state that was read before the
+// request arrived is withheld. Callers start a new read if theirs is not fresh for a request, so a
+// withheld answer is a bug in this program.
 func (r *Registry) answerFromRead(read stateRead, w *waiter, a Answer) {
 	if final, ok := r.finals[w.jobID]; ok {
 		w.answer(finalAnswer(w.jobID, final))
--- a/internal/jobs/cancellations.go
+++ b/internal/jobs/cancellations.go
@@ -71,8 +71,8 @@
 }
 
 // SetCancellationsKnownThrough records the time up to which this node knows of all cancellations
-// confirmed to users. It must be called before newer input is processed: a cancellation received
-// after the call counts as confirmed after that time.
+// confirmed to users, once the mirror is loaded. It must be called before newer input is processed:
+// a cancellation received after the call counts as confirmed after that time.
 func (r *Registry) SetCancellationsKnownThrough(through time.Duration) {
 	if r.store.Mirror.Loaded {
 		r.cancellationsKnownThrough = through
@@ -103,7 +103,8 @@
 
 // CancelledAfter returns the jobs that some owner may have launched and whose cancellation was
 // recorded after a revision, or is not known to be older. An owner whose term is a later revision
-// than the cancellation has never launched a task of the job, because it had read the cancellation.
+// than the cancellation has never launched a task of the job, because the cancellation was known to
+// it from the start of its term.
 func (r *Registry) CancelledAfter(revision uint64) (list []*Job) {
 	for id, j := range r.cancelled {
 		// Until the mark is read, the cancellation counts as newer than every revision.
@@ -136,11 +137,12 @@
 }
 
 // Cancellations returns the cancelled jobs that may still have tasks, as far as this node knows,
-// and the jobs whose cancellation it confirmed to a user recently.
+// and the jobs whose cancellation it confirmed to a user within CancelNoticeRetention.
 //
-// A confirmed cancellation stays in the list until the job's record is known to be removed. With
-// the time limit alone, the list sent to peers as complete could lack an old cancellation: for a
-// moment when the limit expires, and permanently if this node had not read the job's record.
+// After that time, a confirmed cancellation still stays in the list until the job's record is known
+// to be removed. Otherwise the list, which is sent to peers as complete, could lack an old
+// cancellation: for a moment when the time has passed, and permanently if this node had not read
+// the job's record.
 func (r *Registry) Cancellations() []string {
 	var ids []string
 	for id := range r.cancelled {
--- a/internal/jobs/done_sets.go
+++ b/internal/jobs/done_sets.go
@@ -57,8 +57,9 @@
 	}
 }
 
-// removeOrphans removes done sets and chunks whose job has been removed. These are the ones that
-// were not removed in the transaction that finalized the job.
+// removeOrphans removes done sets and chunks whose job has been removed. The transaction that
+// finalizes a job removes only as many chunks as fit into it, and no done set of a small job, which
+// shares its key with other jobs.
 func (r *Registry) removeOrphans() {
 	for id := range r.orphanDoneSets {
 		r.doneSets.Remove(id, limits.DeferredWriteDelay)
@@ -95,7 +96,8 @@
 		if !j.doneSetRequested {
 			j.doneSetRequested = true
 			// The wait lets the done sets of many small jobs share one write. Without it,
-			// jobs that arrived together waited for one write each, one after the other.
+			// jobs that arrive together would need one write each, and wait for one after the
+			// other.
 			wait := min(r.store.WriteWait(statestore.PriorityFinish), limits.MaxPrepareWait)
 			r.doneSets.SetUrgent(j.GuardClass, j.ID, j.Done.encodeChunk(0, limits.ChunkTasks), wait)
 		}
--- a/internal/jobs/final_states.go
+++ b/internal/jobs/final_states.go
@@ -17,9 +17,10 @@
 	Done   int           `msgpack:"d"`
 }
 
-// finalize removes a job and writes its final state in the same transaction, unless status is
-// empty. A completion and a cancellation can't both succeed, because each requires fin/ID to be
-// absent.
+// finalize writes the final state of a job and removes its record in one transaction; the record of
+// a small job may be removed later (see finalizeTxn). An empty status means that the final state is
+// already written. A completion and a cancellation can't both succeed, because each requires fin/ID
+// to be absent.
 func (r *Registry) finalize(j *Job, status wire.JobState) {
 	j.finalizing = true
 	txn, priority, removeLater := r.finalizeTxn(j, status)
@@ -81,8 +82,8 @@
 	}
 }
 
-// readFinalOfOwnedJob reads the final state that another owner wrote for a job of this node, and
-// finalizes the job if it completed.
+// readFinalOfOwnedJob reads the final state that another owner wrote for a job of this node. If the
+// job completed and none of its tasks is assigned any more, only its record remains to be removed.
 func (r *Registry) readFinalOfOwnedJob(j *Job) {
 	r.store.Get(statestore.PriorityFinish, limits.QueryTimeout, keyFinal+j.ID, func(reply statestore.Reply) {
 		final, ok := decodeFinal(reply)
@@ -100,8 +101,8 @@
 	return final, ok
 }
 
-// awaitRemoval closes a job whose final state is written, and keeps it in finalized until its
-// record is removed.
+// awaitRemoval moves a job whose final state is written from the open to the finalized jobs, where
+// it stays until its record is removed.
 func (r *Registry) awaitRemoval(j *Job) {
 	delete(r.Open, j.ID)
 	delete(r.cancelled, j.ID)
@@ -145,8 +146,8 @@
 	delete(r.nextWriteAt, id)
 }
 
-// cacheFinal adds a final state to the cache and evicts the oldest entry of a full cache. A
-// cancellation is also recorded for users, owners and the open job.
+// cacheFinal adds a final state to the cache and evicts the oldest entry of a full cache. A new
+// cancellation is also added to the cancellations to send to peers, and marks the job if it is open.
 func (r *Registry) cacheFinal(id string, final finalState) {
 	if _, ok := r.finals[id]; !ok {
 		if final.Status == wire.StatusCancelled {
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -18,21 +18,21 @@
 const (
 	Planned  TaskState = iota // machine chosen, no command sent yet
 	Sent                      // command sent, but it may be lost
-	Fetching                  // a report showed it fetching
+	Fetching                  // the worker reported the attempt; it fetches the image
 	Running
 	Saving
 )
 
-// Delivery is how the command to start an attempt was sent to the worker, for an attempt that no
-// report has shown yet.
+// Delivery is how the command to start an attempt was sent to the worker, for an attempt that the
+// worker has not reported yet.
 type Delivery int
 
 // Ways in which a command is delivered.
 const (
-	InReply         Delivery = iota // in the answer to a report; the next report shows whether it arrived
-	DirectPending                   // in a direct call that is in flight
-	DirectConfirmed                 // in a direct call that was answered; any newer task list shows the result
-	DirectUnknown                   // in a direct call that was not answered, and may still be executed later
+	InReply         Delivery = iota // in a heartbeat reply; the next heartbeat shows whether it arrived
+	DirectPending                   // in a direct order that is in flight
+	DirectConfirmed                 // in a direct order that was answered; any newer task list shows the result
+	DirectUnknown                   // in a direct order that was not answered, and may still be executed later
 )
 
 // Assignment records the machine and the state of one attempt of a task.
@@ -42,7 +42,7 @@
 	State             TaskState
 	RunningSince      time.Duration // when it was first seen running; 0: not yet
 	Delivery          Delivery
-	WorkerIncarnation uint64 // of the worker, if Delivery is one of the Direct values
+	WorkerIncarnation uint64 // the worker's incarnation that the direct order was addressed to, if Delivery is one of the Direct values
 }
 
 // Job is an unfinished job, or a cancelled job of which tasks may be left.
@@ -70,9 +70,9 @@
 	PlacementKey         string // equal for jobs whose tasks may run on the same machines
 
 	Active   bool // this node owns the job's classes
-	Prepared bool // its done set is written: tasks may be launched
+	Prepared bool // its done set, or chunk 0 of it, is written: tasks may be launched
 	Frozen   bool // launched by an earlier owner, and the machines of its tasks are not all known yet
-	Started  bool // a report showed a task of it running or done
+	Started  bool // a task of it was reported as running or done
 
 	GangRun GangRun // for a gang: the current attempt
 
@@ -90,8 +90,8 @@
 // attempt number.
 type GangRun struct {
 	Attempt      uint64          // 0: no attempt is in progress
-	Started      bool            // a report showed a task of it running: no task can be replaced any more
-	Ending       bool            // it has failed: all its tasks must be gone before the next attempt
+	Started      bool            // a task of it was reported as running: no task can be replaced any more
+	Ending       bool            // the attempt has failed: all its tasks must be gone before the next attempt
 	StoppedAt    time.Duration   // when all tasks were ordered to save and stop; 0: not ordered
 	LeftMachines map[string]bool // machines that a task of this attempt has left
 }
--- a/internal/jobs/lookups.go
+++ b/internal/jobs/lookups.go
@@ -84,16 +84,16 @@
 			return
 		}
 		read := stateRead{reply.CallID}
-		asked := map[string]bool{}
+		guarded := map[string]bool{}
 		for _, guard := range txn.Guards {
-			asked[guard.Key] = true
+			guarded[guard.Key] = true
 		}
 		failed := failedKeys(txnReply)
 		for _, request := range group {
 			switch {
 			case failed[keyFinal+request.jobID]:
 				r.answerWithFinal(request)
-			case asked[keyJob+request.jobID] && !failed[keyJob+request.jobID]:
+			case guarded[keyJob+request.jobID] && !failed[keyJob+request.jobID]:
 				r.answerFromRead(read, request.waiter, Answer{Status: 404, Body: wire.ErrorBody{Error: "no such job"}})
 			case request.cancel:
 				r.readVersionAndCancel(request)
--- a/internal/jobs/registry.go
+++ b/internal/jobs/registry.go
@@ -1,6 +1,6 @@
 // Package jobs keeps the unfinished jobs, answers user requests about jobs, and writes to the
 // state service what must survive a restart: a job before its 201 answer, a cancellation before
-// its 200 answer, and a completion before anyone is informed of it.
+// its 200 answer, and a completion before it is reported to a user.
 //
 // Keys in the state service:
 //   - u/o/ID is the job. It is never rewritten, and is removed when the job is final and has no
@@ -38,7 +38,8 @@
 	keyFinal      = "fin/"
 )
 
-// Registry holds the unfinished jobs, the user requests about jobs, and the writes in flight.
+// Registry holds the unfinished jobs with their pending writes, the user requests about jobs that
+// wait for an answer, and a cache of final states.
 type Registry struct {
 	store    *statestore.Store
 	log      func(level slog.Level, msg string, args ...any)
@@ -165,7 +166,8 @@
 // applyJobRemoval applies the removal of a job's record.
 func (r *Registry) applyJobRemoval(id string) {
 	if j := r.Open[id]; j != nil {
-		// For chunks removed in the same transaction, the change that clears the mark follows at once.
+		// Chunks removed in the same transaction are marked only until their removal is applied,
+		// right after this change.
 		for key := range j.chunkVersions {
 			r.markOrphanChunk(key)
 		}
@@ -207,7 +209,7 @@
 
 // Tick sends the queued user requests, and writes the progress and the completions of the jobs
 // that this node owns. mayWrite reports whether this node may write as owner. allTasksLocated
-// reports whether no machine can have tasks of a job that are not in its assignments.
+// reports whether every task of a job that a machine may have is among the job's assignments.
 func (r *Registry) Tick(now time.Duration, unixTime float64, mayWrite bool, allTasksLocated func(*Job) bool) {
 	r.unixTime = unixTime
 	r.now = max(r.now, now)
--- a/internal/jobs/registry_test.go
+++ b/internal/jobs/registry_test.go
@@ -157,10 +157,10 @@
 func TestQueriesAreAnsweredInTime(t *testing.T) {
 	h := newHarness(t)
 	answered := map[string]time.Duration{}
-	began := map[string]time.Duration{}
+	started := map[string]time.Duration{}
 	for i := 0; i < 10; i++ {
 		id := fmt.Sprintf("job-%d", i)
-		began[id] = h.now
+		started[id] = h.now
 		h.registry.Query(h.now, id, func(answer Answer) {
 			if answer.Status != 503 {
 				t.Errorf("%s: status %d without a reply of the state service", id, answer.Status)
@@ -174,7 +174,7 @@
 	for k := 0; k < 30; k++ {
 		h.tick()
 	}
-	for id, at := range began {
+	for id, at := range started {
 		if took := answered[id] - at; answered[id] == 0 || took > 1900*time.Millisecond {
 			t.Errorf("%s was answered after %v", id, took)
 		}
@@ -273,10 +273,10 @@
 	if answer := submit("job-2"); answer.Status != 503 || answer.RetryAfter == 0 {
 		t.Errorf("without the state service: %+v", answer)
 	}
-	asked := Answer{}
-	h.registry.Query(h.now, "job-3", func(answer Answer) { asked = answer })
-	if asked.Status != 503 {
-		t.Errorf("a query without the state service: %+v", asked)
+	queryAnswer := Answer{}
+	h.registry.Query(h.now, "job-3", func(answer Answer) { queryAnswer = answer })
+	if queryAnswer.Status != 503 {
+		t.Errorf("a query without the state service: %+v", queryAnswer)
 	}
 }
 
--- a/internal/jobs/stale_answers_test.go
+++ b/internal/jobs/stale_answers_test.go
@@ -109,7 +109,7 @@
 }
 
 // TestLateAcceptanceReturnsKnownFinalState guards against a "pending" answer after a "cancelled"
-// one. A peer's report that the job is cancelled arrives before the reply to the transaction that
+// one. A peer's message that the job is cancelled arrives before the reply to the transaction that
 // accepted the job, and this node has already answered a query with the final state.
 func TestLateAcceptanceReturnsKnownFinalState(t *testing.T) {
 	h, commit, first := newHarnessWithSubmission(t, "job-1")
--- a/internal/jobs/submissions.go
+++ b/internal/jobs/submissions.go
@@ -15,7 +15,7 @@
 	job            *wire.Job
 	waiters        []*waiter // the first gets status 201
 	ownTransaction bool      // sent in a transaction of its own
-	jobExists      bool      // the job was accepted before, and only its state is still looked up
+	jobExists      bool      // the job was accepted before, and only its state is looked up
 }
 
 // Full reports whether the limit of waiting requests or of open jobs is reached.
@@ -58,7 +58,7 @@
 	r.queuedSubmissions = append(r.queuedSubmissions, sub)
 }
 
-// joinSubmission makes the repeat of a submission wait for the one in flight. If the job is
+// joinSubmission makes the repeat of a submission wait for the unfinished one. If the job is
 // already known to exist, the repeat gets a lookup of its own.
 func (r *Registry) joinSubmission(sub *submission, w *waiter) {
 	if sub.jobExists {
