--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -1,5 +1,5 @@
 // Package limits holds every constant of the service: its value, its unit in
-// the name or type, and the reason for it. Deployment figures (report
+// the name or type, and the reason for it. Deployment figures (heartbeat
 // intervals, leases, budgets) come from the settings file and are not here.
 package limits
 
@@ -10,7 +10,7 @@
 	// MaxBodyBytes bounds every request and response body, as the protocol requires.
 	MaxBodyBytes = 64 << 10
 	// MaxPreallocatedBodyBytes is the largest declared length for which a body's buffer is
-	// allocated before the body arrives: a report of some forty tasks.
+	// allocated before the body arrives. A heartbeat with about forty tasks fits in it.
 	MaxPreallocatedBodyBytes = 4 << 10
 	// MaxStoreBodyBytes bounds replies of the state service and the cloud, whose
 	// pages may reach 512 KiB and whose watch replies have no limit of their own.
@@ -22,8 +22,8 @@
 	// MaxTextBytes bounds free text that a job record keeps, so that the record
 	// fits the smallest value size of the state service.
 	MaxTextBytes = 200
-	// MaxSeconds bounds durations that are taken from messages, to about 30 years, so that
-	// they fit a time.Duration.
+	// MaxSeconds bounds durations that are taken from messages to about 30 years, so that they fit
+	// a time.Duration.
 	MaxSeconds = 1e9
 	// MaxTypesListed bounds the machine types that one job may list.
 	MaxTypesListed = 1000
@@ -45,37 +45,41 @@
 	// RecordFormat is the newest record format that this version reads and writes.
 	// Format 2 added gangs and smaller chunks of done sets.
 	RecordFormat = 2
-	// NodeLease is the duration of a controller's state lease. With a shorter lease, a dead
-	// owner is detected sooner; a longer one survives slow renewals on a small CPU share.
+	// NodeLease is the duration of a controller's lease in the state service. With a shorter
+	// lease, a dead owner is detected sooner; a longer one survives slow renewals on a small CPU
+	// share.
 	NodeLease = 3 * time.Second
-	// RenewInterval leaves three tries within one NodeLease.
+	// RenewInterval is the interval between renewals of a controller's lease. It leaves three tries
+	// within one NodeLease.
 	RenewInterval = 700 * time.Millisecond
-	// ExtensionTTL is how long an extension, a peer's promise not to take over, is valid for
-	// the owner that requested it. A restarted peer waits this long before it takes over from
-	// another node, so it is shorter than NodeLease.
+	// ExtensionTTL is how long an extension, a peer's permission to go on without the state
+	// service, is valid for the owner that requested it. A restarted peer waits this long, plus
+	// clock margins, before it takes over from another node. With these margins it is still
+	// shorter than NodeLease.
 	ExtensionTTL = 2200 * time.Millisecond
-	// GrantTTL is how long the peer that granted an extension keeps its promise: longer than
-	// the owner relies on it, whatever the drift of their clocks.
+	// GrantTTL is how long the peer that granted an extension doesn't take over from the owner:
+	// longer than the owner relies on the extension, whatever the drift of their clocks.
 	GrantTTL = ExtensionTTL + LeaseMargin
 	// ExtensionInterval is how often an owner requests extensions while the state service is
-	// unreachable or its information about cancellations is out of date.
+	// unreachable or the owner's information about cancellations is becoming stale.
 	ExtensionInterval = 500 * time.Millisecond
-	// CancelMargin is the part of cancel_s, in addition to a worker's lease, that is reserved
-	// between the last answer that an owner gives without information about a cancellation and
-	// the time at which the cancelled tasks must have stopped. It covers timers and the answer
-	// to the user.
+	// CancelMargin is the part of cancel_s that is reserved in addition to a worker's lease. It
+	// lies between the last answer that an owner gives without information about a cancellation
+	// and the time by which the cancelled tasks must have stopped, and covers timers and the
+	// answer to the user.
 	CancelMargin = time.Second
 	// MinStaleness is the least time for which an owner may act without new information about
-	// cancellations, whatever cancel_s is: the duration of a watch without events, and of its
-	// repetition.
+	// cancellations, whatever cancel_s is: two watches without events, each with the time that its
+	// request may take.
 	MinStaleness = 2*WatchHold + 2*StoreTimeout
 	// CancelNoticeRetention is the least time for which a node passes on a cancellation that it
-	// confirmed to a user. The node continues until the job's record is known to be removed. By then
-	// every owner has received the cancellation or has stopped answering.
+	// confirmed to a user. After that time, the node still passes it on until the job's record is
+	// known to be removed. By then every owner has received the cancellation or has stopped
+	// answering.
 	CancelNoticeRetention = 2 * time.Minute
-	// IsolatedAfter is how long the state service must be unreachable for this node, but
-	// reachable for a peer, before this node reports that it is not ready, so that users are
-	// sent to other nodes.
+	// IsolatedAfter is how long the state service must be unreachable for this node, but reachable
+	// for a peer, before this node reports that it is not ready. Users are then sent to other
+	// nodes.
 	IsolatedAfter = 2 * time.Second
 	// ElectionJitter spreads the claims of candidates, because transactions whose
 	// conditions fail use up the write budget.
@@ -96,8 +100,8 @@
 	// StoreTimeout bounds a request to the state service; normal
 	// replies take milliseconds, slow ones a few hundred.
 	StoreTimeout = 1500 * time.Millisecond
-	// WatchHold is how long a watch stays open without events. It also bounds the time for
-	// which a watch that has stopped delivering events goes unnoticed.
+	// WatchHold is how long a watch stays open without events. It also bounds how long a watch
+	// that has stopped delivering events goes unnoticed.
 	WatchHold = 5 * time.Second
 	// WatchShare is the part of a node's requests that watches may use. Each change of any
 	// key ends a watch; the next watch also returns the changes made in between.
@@ -107,9 +111,9 @@
 	// MaxStoreQueue bounds the queued requests. Beyond it, all requests except those for
 	// leases are refused, and the callers hold back.
 	MaxStoreQueue = 2000
-	// ReducedWriteRateHold is how long a node keeps to the announced lower write rate after
-	// the state service refused a write. While the lower rate is in force, one refused write
-	// within that time is enough to extend it.
+	// ReducedWriteRateHold is how long a node keeps to the announced lower write rate after the
+	// state service refused a write with 429. If the service has really switched to the lower
+	// rate, one more refused write within that time renews the hold.
 	ReducedWriteRateHold = 2 * time.Minute
 	// StoreUnreachableAfter is how long the state service must have failed before users'
 	// requests are refused without trying it.
@@ -121,26 +125,24 @@
 	KnowledgeLogInterval = 10 * time.Second
 	// StoreBackoff is the pause after the state service failed or refused a request.
 	StoreBackoff = 300 * time.Millisecond
-	// StoreBudgetUse is the part of the request and write budgets that the nodes use
-	// together. The rest prevents 429 replies while nodes have outdated views of who owns
-	// which class.
+	// StoreBudgetUse is the part of the request and write budgets that the nodes use together. The
+	// rest prevents 429 replies while nodes have outdated views of who owns which class.
 	StoreBudgetUse = 0.9
 	// StoreBurstUse is the part of one second's budget that a node may accumulate.
 	StoreBurstUse = 0.45
 	// ProgressReserve is the part of the accumulated write budget that writes of done sets
 	// and clean-up leave to writes that users wait for.
 	ProgressReserve = 0.5
-	// MaxPrepareWait bounds the time for which jobs that need a record before their first
-	// launch are collected while the write budget is used up: one write stores the records of
-	// many jobs.
+	// MaxPrepareWait bounds how long jobs that need a record before their first launch are
+	// collected while the write budget is used up. One write then stores the records of many jobs.
 	MaxPrepareWait = time.Second
 	// QueryReserve is the part of the accumulated request budget that queries leave to
 	// submissions and to the owner's writes.
 	QueryReserve = 0.3
-	// PageFillShare is the part of the largest value size up to which a key with many records
-	// is filled. MaxPageBytes bounds such a key as well, since the change of one record sends all
-	// its records again. MaxPageTxnBytes bounds the records of one transaction, which may have
-	// 64 KiB.
+	// PageFillShare is the part of the largest value size up to which a key with many records is
+	// filled. MaxPageBytes also bounds such a key, because a change of one record writes all
+	// records of the key again. MaxPageTxnBytes bounds the records of one transaction, which may
+	// have 64 KiB.
 	PageFillShare   = 0.75
 	MaxPageBytes    = 6 << 10
 	MaxPageTxnBytes = 48 << 10
@@ -156,22 +158,22 @@
 	Format1ChunkTasks = 16384
 	// DoneSetFlushInterval is the pause between two writes of done sets.
 	DoneSetFlushInterval = 2 * time.Second
-	// RecordScanInterval is how often an owner scans its jobs for records to be
-	// written. A scan at every event would take most of a small CPU share.
+	// RecordScanInterval is how often an owner checks its jobs, and its machines after a change,
+	// for records to be written. A check at every event would take most of a small CPU share.
 	RecordScanInterval = 50 * time.Millisecond
-	// MachineRecordScanInterval is how often an owner scans its machines for records to be
-	// written when no event reported a change. The scan finds records whose write was refused,
+	// MachineRecordScanInterval is how often an owner checks its machines for records to be
+	// written when no event reported a change. The check finds records whose write was refused,
 	// which no event reports.
 	MachineRecordScanInterval = time.Second
-	// MachineCheckInterval is how often an owner scans its machines for those that are
-	// silent, lost or to be returned. These conditions last seconds; ten scans a second
-	// took a twentieth of an owner's CPU time.
+	// MachineCheckInterval is how often an owner checks its machines for those that are silent,
+	// lost or to be returned. These conditions last seconds, and ten checks a second would take a
+	// twentieth of an owner's CPU time.
 	MachineCheckInterval = 250 * time.Millisecond
 	// JobSortInterval is how long the order of jobs is reused while no job is submitted
 	// or ends; without such events, the order changes only with time.
 	JobSortInterval = 500 * time.Millisecond
-	// SchedulingInterval is the least time between two scheduling rounds over all machines
-	// and jobs. Resources that a single report frees are allocated at once.
+	// SchedulingInterval is the least time between two scheduling rounds over all machines and
+	// jobs. Resources that a single heartbeat frees are allocated at once.
 	SchedulingInterval = 50 * time.Millisecond
 	// MirrorPageSize is the number of entries per page when the mirror is loaded.
 	MirrorPageSize = 500
@@ -182,15 +184,15 @@
 	// LinkQuantile is the quantile of the measured gaps and latencies that counts as their
 	// usual maximum.
 	LinkQuantile = 0.99
-	// LinkSuspectFactor times the usual maximum is the silence after which a link is suspect, and
-	// LinkDownFactor times that silence is the one after which it is down. Reports arrive up to a
-	// quarter of their interval early or late, and a single lost report must not take the link
-	// down.
+	// LinkSuspectFactor times the usual maximum, plus LinkSlack, is the silence or latency after
+	// which a link is suspect. LinkDownFactor times the result is the silence after which the link
+	// is down. Heartbeats arrive up to a quarter of their interval early or late, and a single
+	// lost heartbeat must not take the link down.
 	LinkSuspectFactor = 1.5
 	LinkDownFactor    = 1.5
-	// LinkFloor is added to the silence or latency from which a link is suspect. It covers timer
-	// steps and a CPU that is busy with other reports.
-	LinkFloor = 250 * time.Millisecond
+	// LinkSlack is added to the silence or latency after which a link is suspect. It covers timer
+	// steps and a CPU that is busy with other heartbeats.
+	LinkSlack = 250 * time.Millisecond
 	// LinkLossesForDown is how many requests in a row must be lost before a link is down.
 	LinkLossesForDown = 2
 	// LinkRotateInterval is how often the oldest third of the measurements is dropped.
@@ -198,13 +200,14 @@
 	// LinkRefreshInterval is how often the quantiles are recomputed, which takes some
 	// microseconds per link.
 	LinkRefreshInterval = time.Second
-	// FlapHalfLife, FlapSuppress and FlapReuse suppress flapping links: those that fail at
-	// least every 20 s or so are suppressed, one that fails once a minute is not.
+	// FlapHalfLife, FlapSuppress and FlapReuse suppress flapping links. Each failure adds 1 to a
+	// penalty that halves every FlapHalfLife. A link is suppressed once its penalty reaches
+	// FlapSuppress, until the penalty is below FlapReuse. Links that fail at least every 20 s or
+	// so are suppressed; a link that fails once a minute is not.
 	FlapHalfLife = 30 * time.Second
 	FlapSuppress = 2.5
 	FlapReuse    = 0.8
-	// FlapLongestSuppression bounds the time for which a link is suppressed after its last
-	// failure.
+	// FlapLongestSuppression bounds how long a link is suppressed after its last failure.
 	FlapLongestSuppression = time.Minute
 	// ViewInterval is how often controllers send each other their views of the links.
 	// ViewMaxAge is how long a received view is used; two views in a row may be lost.
@@ -220,7 +223,7 @@
 	// MaxSubmitWriteWait is the longest wait for the write budget with which a submission
 	// is still accepted. If the wait would be longer, the reply says when to try again.
 	MaxSubmitWriteWait = time.Second
-	// QueryTimeout is the same as SubmitTimeout for a query; users wait 2 s.
+	// QueryTimeout is the same as SubmitTimeout, for a query. Users wait 2 s for its answer.
 	QueryTimeout = 1500 * time.Millisecond
 	// MaxWaitingRequests bounds the users' requests that wait in this node.
 	MaxWaitingRequests = 400
@@ -236,44 +239,45 @@
 
 // Machines.
 const (
-	// MaxMissedHeartbeats is how many report intervals (of the slowest worker) a machine
-	// may be silent before it is deleted to free its tasks. The limit is at most one interval
-	// plus HeartbeatRetryTime, within which a worker whose report got no answer reports again: it
-	// waits 4 s for the answer, 1 s before it tries the next node, and 0.5 s for the owner that
-	// the next node names.
+	// MaxMissedHeartbeats is how many heartbeat intervals, each taken a quarter longer because
+	// heartbeats may be that late, a machine may be silent before it is deleted to free its tasks.
+	// The silence allowed is at most one such interval plus HeartbeatRetryTime, within which a
+	// worker whose heartbeat got no answer sends the next one: it waits 4 s for the answer, 1 s
+	// before it tries the next node, and 0.5 s for the owner that the next node names.
 	MaxMissedHeartbeats = 3
 	HeartbeatRetryTime  = 6 * time.Second
-	// MinSilence is the least silence after which a machine is deleted. It is longer than
-	// a worker takes to change to another node.
-	MinSilence = 7 * time.Second
-	// TakeoverSlack, added to the slowest report interval, is how long a machine
-	// may take to find a new owner: a refused report, a pause of one second, and a
-	// report that is redirected.
+	// MinSilenceLimit is the least silence after which a machine is deleted, however short the
+	// heartbeat interval. It is longer than a worker takes to change to another node.
+	MinSilenceLimit = 7 * time.Second
+	// TakeoverSlack, added to 1.25 heartbeat intervals, is how long a machine may take to find a
+	// new owner: a refused heartbeat, a pause of one second, and a heartbeat that is redirected.
 	TakeoverSlack = 2500 * time.Millisecond
-	// ProbeSlack, added to the slowest report interval, is the silence after which a machine is
-	// probed, and probed again every ProbeInterval. MaxProbesInFlight bounds the concurrent probes.
+	// ProbeSlack, added to 1.25 heartbeat intervals, is the silence after which a machine is
+	// probed, and probed again every ProbeInterval. MaxProbesInFlight bounds the concurrent
+	// probes.
 	ProbeSlack        = 500 * time.Millisecond
 	ProbeInterval     = 2 * time.Second
 	MaxProbesInFlight = 96
-	// TakeoverReportedShare is the part of the machines that must have reported to the new
-	// owner before the others are presumed dead rather than partitioned.
+	// TakeoverReportedShare is the part of the machines that must have sent the new owner a
+	// heartbeat before the others are presumed dead rather than partitioned.
 	TakeoverReportedShare = 0.6
-	// ForeignArrivalMaxAge is how long a report that reached a node which doesn't own its class
+	// ForeignArrivalMaxAge is how long a heartbeat that reached a node which doesn't own its class
 	// counts as evidence that workers can reach that node.
 	ForeignArrivalMaxAge = 3 * time.Second
-	// UnreachableHeartbeats, in report intervals, and UnreachableFloor are the times after which an
-	// owner that received no report at all hands its classes over; the longer one counts. A worker
-	// reports within 1.25 intervals, and stops waiting for an answer after 4 s. The time must
-	// leave the workers most of their lease to find the next owner.
+	// UnreachableHeartbeats, in heartbeat intervals, and UnreachableFloor are the times after
+	// which an owner that received no heartbeat at all hands its classes over; the longer one
+	// counts. A worker sends its next heartbeat within 1.25 intervals, and stops waiting for an
+	// answer after 4 s. The time must leave the workers most of their lease to find the next
+	// owner.
 	UnreachableHeartbeats = 1.25
 	UnreachableFloor      = 4 * time.Second
-	// TakeoverSettleTime is how long no further machine must have reported to a new owner for
-	// the first time before the missing ones are presumed dead.
+	// TakeoverSettleTime is how long no further machine must have sent a new owner its first
+	// heartbeat before the missing machines are presumed dead.
 	TakeoverSettleTime = time.Second
 	// MassSilenceMinMachines and MassSilenceShare are the number and the part of the on-demand
-	// machines from which a common silence is treated as a partition or a hang that may end.
-	// These machines are waited for during at most MassSilenceLeases leases, and only if the
-	// cloud refused a machine of their kind within RefusalMaxAge.
+	// machines from which a simultaneous silence is treated as a partition or a hang that may end.
+	// These machines are not deleted before they have been silent for MassSilenceLeases leases, but
+	// only if the cloud refused a machine of their kind within RefusalMaxAge.
 	MassSilenceMinMachines = 3
 	MassSilenceShare       = 0.2
 	MassSilenceLeases      = 2
@@ -287,9 +291,9 @@
 	// nominal boot times. A machine that is kept too long then costs no more than a new
 	// rental, including the fetch of an image.
 	IdleBootTimes = 0.7
-	// SpotRiskDecayTime is the time constant with which past spot losses lose their weight.
-	// SpotRiskPrior is both the number of losses and the number of machine hours that are
-	// assumed before any are observed, which is a rate of one loss an hour.
+	// SpotRiskDecayTime is the time constant of the exponential decay of past spot losses.
+	// SpotRiskPrior is both the number of losses and the number of machine hours that are assumed
+	// before any are observed, which is a rate of one loss an hour.
 	SpotRiskDecayTime = 120 * time.Second
 	SpotRiskPrior     = 0.3
 	// MaxDeadlineSpotRisk is the highest risk of losing its spot machine that a task without
@@ -309,13 +313,13 @@
 	// RentHorizon is the time within which work without a target, or past all its
 	// targets, should be done: a rental is charged for at least a minute.
 	RentHorizon = 60 * time.Second
-	// MinUsefulRental is the shortest time of use, after its boot, that a machine is rented for.
+	// MinUsefulRental is the least time, after its boot, for which a machine is rented.
 	MinUsefulRental = 30 * time.Second
-	// WithMarginShare and OnTimeShare are the parts of the time left until a job's target that
-	// its work may take before spot machines, or on-demand machines, respectively, are rented
-	// for it. The rest allows for wrong estimates and failures.
-	WithMarginShare = 0.35
-	OnTimeShare     = 0.8
+	// FinishWithMarginShare and FinishOnTimeShare are the parts of the time left until a job's
+	// target that its work may take before spot machines, or on-demand machines, respectively, are
+	// rented for it. The rest allows for wrong estimates and failures.
+	FinishWithMarginShare = 0.35
+	FinishOnTimeShare     = 0.8
 	// MinCharge is the least time that the cloud charges for.
 	MinCharge = 60 * time.Second
 	// RentBackoff is the pause before machines of a kind are requested again after a refusal.
@@ -352,50 +356,50 @@
 	FleetPlanInterval = 500 * time.Millisecond
 	// UsageLogInterval is how often the use of CPUs is logged.
 	UsageLogInterval = 5 * time.Second
-	// MaxDirectInFlight bounds the concurrent orders sent straight to workers, and
-	// with them sockets; a machine has one at a time. With a higher bound, the orders only wait
-	// for each other on a small share of a core; with a lower one, they would wait for machines
-	// that do not answer.
-	MaxDirectInFlight = 24
-	// OrderConnectionShare is the part of max_sockets that idle connections to workers may use.
-	// An order costs 76 us of CPU time on a kept connection, and 198 us on a new one. A machine
-	// in use gets an order every half minute or so.
+	// MaxDirectOrdersInFlight bounds the concurrent direct orders other than probes and fences, and
+	// with them sockets; a machine has one at a time. With a higher bound, the orders only wait for
+	// each other on a small share of a core; with a lower one, they would wait for machines that do
+	// not answer.
+	MaxDirectOrdersInFlight = 24
+	// OrderConnectionShare is the part of max_sockets that idle connections to workers may use. A
+	// direct order costs 76 us of CPU time on a kept connection, and 198 us on a new one. A
+	// machine in use gets one every half minute or so.
 	OrderConnectionShare = 0.25
 	// OrderBufferBytes is the size of each of the two buffers of a connection to a worker. Most
-	// answers are a report of a few tasks, and hundreds of connections are kept.
+	// answers are a heartbeat with a few tasks, and hundreds of connections are kept.
 	OrderBufferBytes = 2 << 10
-	// DirectTimeout bounds an order sent straight to a worker; workers answer within
+	// DirectOrderTimeout bounds a direct order, including probes and fences; workers answer within
 	// milliseconds.
-	DirectTimeout = 2 * time.Second
-	// MaxFencesInFlight bounds the concurrent fences: orders without commands that only carry
-	// a new owner's fencing token. Fences have a bound of their own because a takeover may need
-	// hundreds of them within the workers' leases. At most MaxFenceRepeats of them may be
+	DirectOrderTimeout = 2 * time.Second
+	// MaxFencesInFlight bounds the concurrent fences: direct orders without commands that only
+	// carry a new owner's fencing token. Fences have a bound of their own because a takeover may
+	// need hundreds of them within the workers' leases. At most MaxFenceRepeats of them may be
 	// repeats, so that machines that don't answer delay no others.
 	MaxFencesInFlight = 192
 	MaxFenceRepeats   = 96
-	// FenceWait is how long the answer to a report waits for a fence; the worker waits 4 s for
+	// FenceWait is how long the answer to a heartbeat waits for a fence; the worker waits 4 s for
 	// the answer.
 	FenceWait = 2500 * time.Millisecond
-	// FenceRepeatDelay is the time after which an unanswered fence is repeated. The delay
-	// doubles with each repeat. Repeats are worthwhile because a refused report costs its
-	// worker two seconds or more.
+	// FenceRepeatDelay is the time after which an unanswered fence is repeated. The delay doubles
+	// with each repeat. Repeats are worthwhile because a refused heartbeat costs its worker two
+	// seconds or more.
 	FenceRepeatDelay = 300 * time.Millisecond
-	// DirectSlack, added to a report interval, is the silence after which a machine is
-	// sent no orders, because they would hang.
-	DirectSlack = 500 * time.Millisecond
-	// ClearLeases is for how many leases an attempt that was launched by an order
-	// stays listed at the worker after its end, in case the order is carried out again.
-	ClearLeases = 4.0
+	// DirectOrderSlack, added to a heartbeat interval, is the silence after which a machine is
+	// sent no direct orders, because they would hang.
+	DirectOrderSlack = 500 * time.Millisecond
+	// ClearAfterLeases is for how many leases an attempt that was launched by a direct order stays
+	// listed at the worker after its end, in case the order is carried out again.
+	ClearAfterLeases = 4.0
 	// MaxCommands bounds the commands of one answer, well within MaxBodyBytes.
 	MaxCommands = 200
-	// AttemptBits is the width of the counter below the term in an attempt
-	// number; with terms up to 2^33, attempt numbers stay below 2^53.
-	AttemptBits = 20
-	// RecallSlack is the time after an announced recall at which a machine that has not
-	// reported since the recall is presumed gone.
+	// AttemptCounterBits is the width of the counter below the term in an attempt number. With
+	// terms up to 2^33, attempt numbers stay below 2^53.
+	AttemptCounterBits = 20
+	// RecallSlack is the time after the announced time of a recall at which a machine is presumed
+	// gone if it has sent no heartbeat since the recall.
 	RecallSlack = time.Second
-	// MinRemainingShare is the least part of its estimate that a running task is assumed to
-	// need still, however long it has run.
+	// MinRemainingShare is the least part of its estimate that a running task is assumed to still
+	// need, however long it has run.
 	MinRemainingShare = 0.2
 	// DrainMargin is the time kept between the end of a task's save and the machine's recall.
 	DrainMargin = 2 * time.Second
@@ -406,22 +410,23 @@
 	// GangHoldAge is the age from which resources are held for a gang that fits nowhere.
 	GangHoldAge = 60 * time.Second
 	// GangReserveFactor is the capacity reserved for gangs that should start soon, as a multiple
-	// of the CPUs that such gangs lately requested at one time. MaxGangReserveShare bounds this
+	// of the CPUs that such gangs recently requested at one time. MaxGangReserveShare bounds this
 	// capacity as a part of all CPUs. GangDemandHalfLife is the half-life of the recorded demand.
 	GangReserveFactor   = 1.25
 	MaxGangReserveShare = 0.15
 	GangDemandHalfLife  = 60 * time.Second
 	// GangReserveInterval is the pause between updates of the machines reserved for gangs.
 	GangReserveInterval = 500 * time.Millisecond
-	// GangCompletionTime, in addition to the fetch of the image, is how long placing and
-	// launching the missing tasks of a gang may take: two reports of a slow machine.
+	// GangCompletionTime, in addition to the fetch of the image, is how long placing and launching
+	// the missing tasks of a gang may take: two heartbeats of a slow machine.
 	GangCompletionTime = 10 * time.Second
-	// GangStopSlack, in addition to a report interval, gang_peer_s and the time to save, is how
-	// long a gang that was ordered to save and stop is waited for before it is ended.
+	// GangStopSlack, in addition to 1.25 heartbeat intervals, gang_peer_s and the time to save, is
+	// how long an owner waits for a gang that was ordered to save and stop before it ends the
+	// attempt.
 	GangStopSlack = 2 * time.Second
 )
 
-// The order of jobs.
+// The order in which jobs are scheduled.
 const (
 	// MinRunShare is the part of its estimate that a task is assumed to run at least when
 	// deciding whether a job can still meet a target.
@@ -431,7 +436,7 @@
 	OverloadHorizon = 120 * time.Second
 )
 
-// Preemption of resources that a team has borrowed beyond its guarantee.
+// Preemption of resources that a team has borrowed in excess of its guarantee.
 const (
 	// PreemptInterval is the pause between checks for resources to preempt: a start within a
 	// guarantee may take some seconds.
@@ -439,7 +444,7 @@
 	// MaxPreemptShare is the largest part of the machines, in addition to one, on which one check
 	// may preempt tasks. Otherwise tasks that are about to end by themselves would all be stopped.
 	MaxPreemptShare = 0.1
-	// PreemptSlack, in addition to two report intervals and the time to save, is how long the
+	// PreemptSlack, in addition to two heartbeat intervals and the time to save, is how long the
 	// resources of a machine are held for the job that waits for them.
 	PreemptSlack = 3 * time.Second
 	// PreemptMinRun is how long a task runs at least before it may be preempted: the
@@ -449,9 +454,9 @@
 
 // Prevention of starvation: even under overload, every job starts within four minutes.
 const (
-	// StartOverdueAfter is the age from which a job that has not started goes first, with up
-	// to MaxOverdueStartTasks tasks, and has a machine held for it if it fits nowhere.
-	// A fetch, a boot and a long task that must end first fit in the rest of the four minutes.
+	// StartOverdueAfter is the age from which a job that has not started goes first, with up to
+	// MaxOverdueStartTasks tasks. A machine is held for it if it fits nowhere. A fetch, a boot and
+	// a long task that must end first fit in the rest of the four minutes.
 	StartOverdueAfter    = 120 * time.Second
 	MaxOverdueStartTasks = 2
 	// MaxHeldShare is the part of the machines, in addition to one, that may be held for
@@ -491,9 +496,9 @@
 	// SocketReserveShare is the part of max_sockets that users may not use. It is reserved for
 	// workers, probes and this node's own connections.
 	SocketReserveShare = 0.4
-	// UserIdleTimeout, and IdleHeartbeats in report intervals, are the times after which idle
-	// connections of users and workers are closed. Users poll about every 5 s, and a worker that
-	// has not reported for two intervals reports again on another connection.
+	// UserIdleTimeout and IdleHeartbeats heartbeat intervals, whichever is longer, is the time after
+	// which an idle connection of a user or worker is closed. Users poll about every 5 s, and a
+	// worker that has sent no heartbeat for two intervals sends the next one on another connection.
 	UserIdleTimeout = 20 * time.Second
 	IdleHeartbeats  = 2.5
 	// ClientIdleTimeout is the time after which this node closes its own idle connections.
--- a/internal/ownership/cancellations.go
+++ b/internal/ownership/cancellations.go
@@ -7,18 +7,19 @@
 )
 
 // MaxStaleness returns how long an owner may answer workers without new information about confirmed
-// cancellations. cancel is the time within which a cancelled task must stop. A worker that is answered
-// at the end of the returned time keeps its tasks for one more lease, measured by its own clock.
+// cancellations. cancel is the time after the confirmation within which a cancelled task must stop. A
+// worker that is answered at the end of the returned time keeps its tasks for one more lease, measured
+// by the worker's clock.
 func MaxStaleness(cancel, lease time.Duration) time.Duration {
 	remaining := cancel - time.Duration(float64(lease)*(1+limits.ClockDrift)) - limits.CancelMargin
 	return max(time.Duration(float64(remaining)*(1-limits.ClockDrift)), limits.MinStaleness)
 }
 
 // CancellationsKnownThrough returns the time up to which this node knows every cancellation that was
-// confirmed to a user. It is the latest of three times: that of its own mirror, that of a peer's mirror
-// whose cancellations the peer passed on, and the time up to which all peers have reported their own
-// confirmed cancellations. A peer that restarted and has not loaded the records since cannot make such
-// a report.
+// confirmed to a user. It is the latest of three times: the time up to which its own mirror is complete,
+// the time up to which a peer's mirror was complete when the peer passed its cancellations on, and the
+// time up to which every peer has reported the cancellations that it confirmed itself. A peer that
+// restarted and has not loaded the records since cannot report these completely.
 func (n *Node) CancellationsKnownThrough() time.Duration {
 	allPeers := n.now
 	for _, peer := range n.peers {
@@ -27,9 +28,10 @@
 	return max(n.store.Mirror.KnownThrough, n.peerKnownThrough, allPeers)
 }
 
-// RecordPeerCancellations records a peer's reply to a request sent at sent. complete reports that the
-// reply includes all cancellations that the peer itself confirmed. lag is how long before the reply the
-// peer's mirror was up to date: the reply includes every node's cancellations up to that time.
+// RecordPeerCancellations records a peer's reply to a request sent at sent. complete reports whether the
+// reply includes all cancellations that the peer itself confirmed. lag is the age of the peer's mirror
+// at the time of the reply: the reply also includes all cancellations that any node confirmed up to lag
+// before the reply.
 func (n *Node) RecordPeerCancellations(peer string, sent time.Duration, complete bool, lag time.Duration) {
 	if !complete {
 		return
--- a/internal/ownership/extension.go
+++ b/internal/ownership/extension.go
@@ -7,17 +7,17 @@
 )
 
 // GrantExtension reports whether this node grants a peer an extension, with which the peer may
-// continue to answer its workers for the given classes and terms. It does so if the state service is
-// unreachable for this node as well and no later term of these classes is known. By granting it, this
-// node promises to take over no class from now until the extension ends. It cannot speak for the time
-// before its process began, so the asker also checks its Uptime.
+// continue to answer its workers for the given classes and terms. The node does so if the state service
+// is unreachable for the node as well and it has no record of a later term of these classes. After a
+// grant, the node takes over no class for limits.GrantTTL. The node has no memory of the time before its
+// process began, so the peer also checks the node's Uptime.
 func (n *Node) GrantExtension(now time.Duration, terms map[string]uint64) bool {
 	if now > n.now {
 		n.now = now
 	}
 	if !n.store.Mirror.Loaded {
-		// Before the mirror is loaded this node takes over nothing, but without a failed request
-		// it cannot tell either whether the state service is down for all nodes.
+		// Before the mirror is loaded, this node takes over nothing. But until a request has
+		// failed, nothing indicates that the state service is down for all nodes.
 		if n.store.LastFail == 0 {
 			return false
 		}
@@ -26,7 +26,7 @@
 		return false
 	}
 	// Without this check, a deposed owner could get an extension in an outage that began after its
-	// successor took over. The successor still knows its own term, even after its claim has ended.
+	// successor took over. The successor still remembers its own term, even after its claim has ended.
 	for class, term := range terms {
 		if n.latestTerms[class] > term {
 			return false
@@ -54,10 +54,10 @@
 }
 
 // uptimeCoversGap reports whether a peer with the given uptime would remember having taken over from
-// this node. Its process must have begun before the end of the time in which the peer cannot have taken
-// over, either because this node's lease was valid or because the peer, in this incarnation or an
-// earlier one, had granted an extension. Any successor is one of the peers, so if each of them covers
-// its own time without a gap, there is no successor.
+// this node. The peer cannot have taken over while this node's lease was valid, or while the peer was
+// bound by an extension that it had granted, in this incarnation or an earlier one. The peer's process
+// must have begun before the later of these times ended. Any successor is one of the peers, so if every
+// peer meets this condition and grants an extension, there is no successor.
 //
 // Without this check, a successor that restarted during an outage and lost its memory would let the
 // previous owner continue, although it had already started that owner's tasks elsewhere.
@@ -66,8 +66,9 @@
 	return began <= max(n.leaseEnd, n.noTakeoverUntil[peer])
 }
 
-// NeedsExtension reports whether to ask the peers for extensions now. If so, it also delays the next
-// request by limits.ExtensionInterval.
+// NeedsExtension reports whether an owner should ask the peers for extensions now: the state service is
+// down, or half of MaxStaleness has passed without new information about cancellations. If so, it also
+// delays the next request by limits.ExtensionInterval.
 func (n *Node) NeedsExtension() bool {
 	stale := n.now-n.CancellationsKnownThrough() > n.MaxStaleness/2
 	if len(n.claims) == 0 || !n.store.Down() && !stale || n.now < n.nextExtensionRequest {
@@ -77,8 +78,8 @@
 	return true
 }
 
-// earlierGrantsEnded reports whether all extensions granted by earlier incarnations of this node are
-// over, or cannot concern the class because this node was its last owner.
+// earlierGrantsEnded reports whether all extensions granted by earlier incarnations of this node have
+// ended, or cannot concern the class because this node was the last owner of the class.
 func (n *Node) earlierGrantsEnded(class string) bool {
 	return n.now >= n.start+limits.ExtensionTTL+2*limits.LeaseMargin || n.lastOwners[class] == n.Name
 }
--- a/internal/ownership/extension_test.go
+++ b/internal/ownership/extension_test.go
@@ -53,8 +53,8 @@
 }
 
 // TestExtensionRequiresUptimeOverGap checks that an extension counts only if the peer's process has been
-// running for the whole time in which the peer could have taken over from this node. That time is shortened
-// by an extension that an earlier incarnation of the peer granted.
+// running for the whole time in which the peer could have taken over from this node. An extension that an
+// earlier incarnation of the peer granted shortens this time.
 func TestExtensionRequiresUptimeOverGap(t *testing.T) {
 	const leaseEnd = 60 * time.Second
 	for _, c := range []struct {
@@ -93,15 +93,15 @@
 }
 
 // TestClaimWaitsForRecordsBeforeItsTerm checks that a node acts on its claim only when the mirror includes
-// all records before the claim's term, as successors rely on. After a 410 the records are reloaded in pages:
-// the reload can show the claim but miss a cancellation that was written before the claim and after the
-// cancellation's own page was read.
+// all records before the claim's term. Successors rely on this. After a watch is answered with 410, the keys
+// are read again in pages: the pages can include the claim but miss a cancellation that was written before
+// the claim and after the page for the cancellation's key was read.
 func TestClaimWaitsForRecordsBeforeItsTerm(t *testing.T) {
 	const term = 20
 	n := newTestNode(time.Minute)
 	n.lease, n.leaseEnd = 1, 2*time.Minute
 	n.mapping["small"] = versionedRecord{nodeRecord: nodeRecord{Node: n.Name}, version: 10}
-	n.holders["small"] = versionedRecord{nodeRecord: n.ownRecord(), version: term}
+	n.owners["small"] = versionedRecord{nodeRecord: n.ownRecord(), version: term}
 	n.lastOwners["small"] = n.Name
 	for _, revision := range []uint64{term - 5, term - 1, term} {
 		n.store.Mirror.Revision = revision
--- a/internal/ownership/handover.go
+++ b/internal/ownership/handover.go
@@ -9,7 +9,7 @@
 	"umberpaddle/internal/wire"
 )
 
-// release maps classes that are being handed over to the successor and removes this node's holds on
+// release maps classes that are being handed over to the successor and removes this node's claims to
 // them. It does so in one transaction if the write limit allows, so that the classes stay together.
 func (n *Node) release(classes []string) {
 	next := n.successor()
@@ -20,15 +20,15 @@
 	var txn wire.Txn
 	for _, class := range classes[:min(len(classes), max(1, n.store.MaxWrites()/2))] {
 		ownerKey, mappingKey := keyOwner+keySegment(class), keyMapping+keySegment(class)
-		txn.Guards = append(txn.Guards, wire.Guard{Key: ownerKey, Version: n.holders[class].version}, wire.Guard{Key: mappingKey, Version: n.mapping[class].version})
+		txn.Guards = append(txn.Guards, wire.Guard{Key: ownerKey, Version: n.owners[class].version}, wire.Guard{Key: mappingKey, Version: n.mapping[class].version})
 		txn.Then = append(txn.Then, wire.Op{Remove: ownerKey}, wire.Op{Key: mappingKey, Value: nodeRecord{Node: next, HandedOver: true}})
 	}
 	n.submit("release", txn)
 }
 
-// Handover hands all classes to another node, for an owner that its workers cannot reach. The owner
-// stops acting on them at once. It names its successor itself, because the leader sees the owner as
-// healthy. preferred is a node that the workers reach, or "" if none is known.
+// Handover hands all classes over to another node. It is for an owner that its workers cannot reach.
+// The owner stops acting on the classes at once. It chooses the successor itself, because to the leader
+// the owner appears healthy. preferred is a node that the workers reach, or "" if none is known.
 func (n *Node) Handover(preferred string) {
 	n.preferredSuccessor = preferred
 	next := n.successor()
@@ -43,7 +43,7 @@
 	n.dropClaims()
 }
 
-// successor returns the preferred successor if that is a live peer, else the next live peer in the
+// successor returns the preferred successor if it is a live peer, else the next live peer in the
 // cyclic order of names. It returns "" if there is no live peer.
 func (n *Node) successor() string {
 	if _, alive := n.nodes[n.preferredSuccessor]; alive && n.preferredSuccessor != n.Name {
--- a/internal/ownership/lease.go
+++ b/internal/ownership/lease.go
@@ -32,8 +32,8 @@
 	}
 	// If the lease may have expired after an unanswered renewal, the node first checks with a read
 	// that replies arrive. Without this check, a node whose requests reach the state service but
-	// which gets no replies would keep its lease alive without daring to act under it, and no other
-	// node could take over.
+	// which gets no replies would keep alive a lease under which it may not act, and no other node
+	// could take over.
 	if n.renewalUnanswered && !n.LeaseValid() {
 		n.store.Get(statestore.PriorityLease, limits.StoreTimeout, keyLeader, func(reply statestore.Reply) {
 			n.leaseRequested = false
@@ -61,8 +61,8 @@
 	})
 }
 
-// extendLease counts the lease from the time at which the request was sent, less the allowed clock
-// drift and a margin.
+// extendLease sets the end of the lease. The lease is counted from the time at which the request was
+// sent, less the allowed clock drift and a margin.
 func (n *Node) extendLease(sent time.Duration) {
 	end := sent + time.Duration(float64(limits.NodeLease)*(1-limits.ClockDrift)) - limits.LeaseMargin
 	if end > n.leaseEnd {
@@ -76,7 +76,7 @@
 	n.store.RevokeLease(lease, func(reply statestore.Reply) {
 		if reply.Status != statestore.OK && reply.Status != statestore.NotFound && reply.Status != 204 {
 			delete(n.endingLeases, lease)
-			for _, records := range []map[string]versionedRecord{n.nodes, n.holders, {"": n.leader}} {
+			for _, records := range []map[string]versionedRecord{n.nodes, n.owners, {"": n.leader}} {
 				for _, rec := range records {
 					if rec.Lease == lease && !n.endingLeases[lease] {
 						n.endingLeases[lease] = true
--- a/internal/ownership/mapping.go
+++ b/internal/ownership/mapping.go
@@ -22,7 +22,8 @@
 	}
 }
 
-// elect tries to become leader while there is none, after a delay that differs between nodes.
+// elect tries to become the leader if there is none, electionJitter after a leader was last seen. The
+// delay differs between nodes, because competing claims use up the write budget.
 func (n *Node) elect() {
 	if n.leader.Node != "" {
 		n.retryAt["elect"] = n.now + n.electionJitter
@@ -46,15 +47,15 @@
 		owner[class] = mapped.Node
 		all = append(all, class)
 		// After all nodes have restarted, only the last owner of a class may claim it without
-		// waiting for the end of extensions granted by earlier incarnations. So until someone has
-		// claimed the class, it is mapped to its last owner again once that node is back, unless
-		// that node has just handed it over.
+		// waiting for the end of extensions granted by earlier incarnations. So as long as no node
+		// has claimed the class, it is mapped to its last owner again once the last owner is back,
+		// unless the last owner has just handed the class over.
 		if last := n.lastOwners[class]; alive[last] && !mapped.HandedOver {
 			owner[class] = last
 		}
 	}
-	for class, holder := range n.holders {
-		owner[class] = holder.Node
+	for class, rec := range n.owners {
+		owner[class] = rec.Node
 	}
 	want := Assign(RDUCs(demand), all, owner, alive, n.Name)
 	names := make([]string, 0, len(want))
@@ -81,8 +82,8 @@
 // rewrites one.
 func (n *Node) Format() int { return n.format }
 
-// raiseFormat lets the leader record that every node reads the present format. It relies on a node not
-// being downgraded once it has been seen with that format.
+// raiseFormat is for the leader. Once all nodes have registered with the present format, it records that
+// every node reads this format. It relies on no node being downgraded afterwards.
 func (n *Node) raiseFormat() {
 	if n.format >= limits.RecordFormat || n.nodes[n.Name].Format < limits.RecordFormat {
 		return
@@ -97,8 +98,8 @@
 		Then: []wire.Op{{Key: keyFormat, Value: nodeRecord{Format: limits.RecordFormat}}}})
 }
 
-// claimClasses requests the classes that are mapped to this node and have no holder. It also records this
-// node as their last owner, for earlierGrantsEnded.
+// claimClasses requests ownership of the classes that are mapped to this node and have no owner. It also
+// records this node as their last owner, for earlierGrantsEnded.
 func (n *Node) claimClasses() {
 	names := make([]string, 0, len(n.mapping))
 	for class := range n.mapping {
@@ -108,16 +109,16 @@
 	var txn wire.Txn
 	for _, class := range names {
 		mapped := n.mapping[class]
-		if _, held := n.holders[class]; held || mapped.Node != n.Name || !n.earlierGrantsEnded(class) || n.now < n.grantedUntil {
+		if _, owned := n.owners[class]; owned || mapped.Node != n.Name || !n.earlierGrantsEnded(class) || n.now < n.grantedUntil {
 			continue
 		}
 		if len(txn.Then)+2 > n.store.MaxTxnOps {
 			break
 		}
 		key := keyOwner + keySegment(class)
-		// From here on, GrantExtension refuses the previous owner. Without this, it could be granted
-		// an extension while this claim is in flight. The claim may still be executed late, and the
-		// next incarnation of this node, being the last owner, would then act on it at once.
+		// From here on, GrantExtension refuses the previous owner. Without this line, the previous
+		// owner could be granted an extension while this claim is in flight. If the claim is then
+		// executed late, the next incarnation of this node, being the last owner, acts on it at once.
 		n.latestTerms[class] = max(n.latestTerms[class], n.store.Mirror.Revision)
 		txn.Guards = append(txn.Guards, wire.Guard{Key: key}, wire.Guard{Key: keyMapping + keySegment(class), Version: mapped.version})
 		txn.Then = append(txn.Then, wire.Op{Key: key, Value: n.ownRecord(), Lease: n.lease})
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -1,7 +1,7 @@
 // Package ownership decides which controller acts for which machine class. It keeps this node's
-// lease at the state service, lets the leader map RDUCs (clusters of machine classes) to owners,
-// claims classes and tracks the terms of the claims. During an outage of the state service, an owner
-// continues under extensions: promises of all its peers not to take over its classes.
+// lease at the state service, elects a leader, which maps RDUCs (clusters of machine classes) to
+// owners, claims classes and tracks the terms of the claims. During an outage of the state service, an
+// owner continues under extensions: each peer permits it to continue and takes over no class meanwhile.
 //
 // All ownership is derived from the mirror of the state service: this node owns a class once the
 // mirror shows its claim, and the version of the claim is the term. A claim that got no reply or was
@@ -61,7 +61,7 @@
 type Node struct {
 	Name        string
 	Incarnation uint64
-	// SupportedFormat is the newest record format that this process announces that it reads.
+	// SupportedFormat is the newest record format that this process reads, as its node record states.
 	SupportedFormat int
 
 	store *statestore.Store
@@ -78,15 +78,15 @@
 	format       int // newest record format that may be written
 	leader       versionedRecord
 	nodes        map[string]versionedRecord // by node
-	mapping      map[string]versionedRecord // by class
-	holders      map[string]versionedRecord // by class
+	mapping      map[string]versionedRecord // class -> node that should own it
+	owners       map[string]versionedRecord // class -> node whose claim is recorded
 	lastOwners   map[string]string          // class -> node
-	latestTerms  map[string]uint64          // class -> revision up to which every term is over, except the present holder's
+	latestTerms  map[string]uint64          // class -> revision up to which every term is over, except the present owner's
 	endingLeases map[uint64]bool            // leases of earlier incarnations of this node that are being ended
 
 	claims      map[string]*Claim
 	handingOver map[string]uint64 // class -> term that is being handed over
-	// renewalUnanswered reports that the last lease renewal got no reply and may have been executed.
+	// renewalUnanswered is set if the last lease renewal got no reply and may have been executed.
 	renewalUnanswered  bool
 	preferredSuccessor string                   // node that should take over after a handover
 	retryAt            map[string]time.Duration // key -> earliest time of the next attempt
@@ -95,7 +95,7 @@
 
 	grantedUntil         time.Duration            // this node claims nothing before this time
 	extensions           map[string]time.Duration // peer -> end of the extension that it granted
-	noTakeoverUntil      map[string]time.Duration // peer -> time until which, by its promises, it cannot have taken over
+	noTakeoverUntil      map[string]time.Duration // peer -> time until which the peer, by its extensions, cannot have taken over
 	nextExtensionRequest time.Duration
 
 	// peerReportedThrough is, for each peer, the time up to which it has reported all cancellations
@@ -109,11 +109,11 @@
 	MaxStaleness time.Duration
 }
 
-// New returns the state of a process. incarnation is a random number that identifies this run of the
-// process; staleness is the result of MaxStaleness for the workers' settings.
+// New returns the state of a process. incarnation is a random number that identifies this incarnation of
+// the node; staleness is the result of MaxStaleness for the workers' settings.
 func New(name string, peers []string, incarnation uint64, start, staleness time.Duration, store *statestore.Store, log func(slog.Level, string, ...any)) *Node {
 	return &Node{Name: name, Incarnation: incarnation, SupportedFormat: limits.RecordFormat, store: store, peers: peers, log: log, now: start, start: start,
-		nodes: map[string]versionedRecord{}, mapping: map[string]versionedRecord{}, holders: map[string]versionedRecord{}, lastOwners: map[string]string{}, latestTerms: map[string]uint64{},
+		nodes: map[string]versionedRecord{}, mapping: map[string]versionedRecord{}, owners: map[string]versionedRecord{}, lastOwners: map[string]string{}, latestTerms: map[string]uint64{},
 		endingLeases: map[uint64]bool{}, claims: map[string]*Claim{}, handingOver: map[string]uint64{}, retryAt: map[string]time.Duration{}, extensions: map[string]time.Duration{}, noTakeoverUntil: map[string]time.Duration{},
 		peerReportedThrough: map[string]time.Duration{}, MaxStaleness: staleness,
 		electionJitter: time.Duration(incarnation % uint64(limits.ElectionJitter))}
@@ -159,7 +159,7 @@
 	case strings.HasPrefix(change.Key, keyMapping):
 		update(n.mapping, keyMapping)
 	case strings.HasPrefix(change.Key, keyOwner):
-		update(n.holders, keyOwner)
+		update(n.owners, keyOwner)
 		class := nameFromKey(change.Key, keyOwner)
 		n.latestTerms[class] = max(n.latestTerms[class], rec.version)
 	case strings.HasPrefix(change.Key, keyLastOwner):
@@ -196,9 +196,9 @@
 // MayAnswer reports whether an owner may answer its workers. Its information about cancelled jobs
 // must be recent enough, and either its lease is valid or every peer has granted it an extension.
 func (n *Node) MayAnswer() bool {
-	// Without this check, an owner that alone lost the state service would miss cancellations
-	// that a peer confirms. Once the service failed for all nodes too, the owner would continue
-	// under extensions and keep the cancelled tasks running.
+	// Without this check, an owner could keep cancelled tasks running as follows: the state service
+	// refuses only this owner, while a peer confirms cancellations. When the service then fails
+	// for all nodes, the owner gets extensions and continues without these cancellations.
 	if n.now >= n.CancellationsKnownThrough()+n.MaxStaleness {
 		return false
 	}
@@ -230,11 +230,11 @@
 	return deadline
 }
 
-// Owner returns the node to which workers of a class should report, or "" if there is none: the holder
-// of the class, else the live node to which the class is mapped.
+// Owner returns the node to which workers of a class should send heartbeats, or "" if there is none. It is
+// the node whose claim to the class is recorded, else the live node to which the class is mapped.
 func (n *Node) Owner(class string) string {
-	if holder, ok := n.holders[class]; ok {
-		return holder.Node
+	if rec, ok := n.owners[class]; ok {
+		return rec.Node
 	}
 	if mapped, ok := n.mapping[class]; ok {
 		if _, alive := n.nodes[mapped.Node]; alive {
@@ -247,13 +247,14 @@
 // Owners returns the set of nodes that own classes.
 func (n *Node) Owners() map[string]bool {
 	owners := map[string]bool{}
-	for _, holder := range n.holders {
-		owners[holder.Node] = true
+	for _, rec := range n.owners {
+		owners[rec.Node] = true
 	}
 	return owners
 }
 
-// Guard returns the condition that every write by the owner of class carries.
+// Guard returns the condition that every write by the owner of class carries. Its version is 0 if this
+// process does not own the class.
 func (n *Node) Guard(class string) wire.Guard {
 	var term uint64
 	if claim := n.claims[class]; claim != nil {
@@ -274,8 +275,8 @@
 // Advance sets the current time without triggering any work.
 func (n *Node) Advance(now time.Duration) { n.now = max(n.now, now) }
 
-// Tick sets the current time and does the work that is due. classes are the known machine types;
-// demand returns the classes that unfinished jobs may use.
+// Tick sets the current time and does the work that is due. classes are the known machine classes;
+// demand returns the classes that unfinished jobs may use, by team.
 func (n *Node) Tick(now time.Duration, classes []string, demand func() Demand) {
 	if now > n.now {
 		n.now = now
@@ -307,12 +308,12 @@
 }
 
 // reconcileClaims updates the claims to match the mirror. It also releases classes that this node
-// holds but that are mapped to another node or being handed over.
+// owns but that are mapped to another node or being handed over.
 func (n *Node) reconcileClaims() {
 	for _, class := range slices.Sorted(maps.Keys(n.claims)) {
 		claim := n.claims[class]
-		holder, ok := n.holders[class]
-		if !ok || !n.isOwnRecord(holder) || holder.version != claim.Term || n.mapping[class].Node != n.Name {
+		rec, ok := n.owners[class]
+		if !ok || !n.isOwnRecord(rec) || rec.version != claim.Term || n.mapping[class].Node != n.Name {
 			n.log(slog.LevelInfo, "class given up", "class", class, "term", claim.Term)
 			delete(n.claims, class)
 		}
@@ -321,37 +322,37 @@
 		return
 	}
 	var handedOver []string
-	for _, class := range slices.Sorted(maps.Keys(n.holders)) {
-		holder := n.holders[class]
-		if !n.isOwnRecord(holder) || n.claims[class] != nil {
+	for _, class := range slices.Sorted(maps.Keys(n.owners)) {
+		rec := n.owners[class]
+		if !n.isOwnRecord(rec) || n.claims[class] != nil {
 			continue
 		}
 		if n.mapping[class].Node != n.Name {
 			n.submit(keyOwner+class, wire.Txn{
-				Guards: []wire.Guard{{Key: keyOwner + keySegment(class), Version: holder.version}},
+				Guards: []wire.Guard{{Key: keyOwner + keySegment(class), Version: rec.version}},
 				Then:   []wire.Op{{Remove: keyOwner + keySegment(class)}}})
 			continue
 		}
-		// This node never acts on a term again once it has begun to hand it over, even if the
-		// transaction fails: orders that it sent under the term may still be carried out.
-		if n.handingOver[class] == holder.version {
+		// Once this node has begun to hand a class over, it never acts under that term again, even
+		// if the transaction fails: orders that it sent under the term may still be carried out.
+		if n.handingOver[class] == rec.version {
 			handedOver = append(handedOver, class)
 			continue
 		}
-		// Successors rely on an owner knowing everything that was recorded before its term.
-		// After a 410 the records are reloaded in pages. Without this check, the reload could show
-		// the claim but miss a cancellation that was written before the claim and after the
-		// cancellation's own page was read.
-		if n.store.Mirror.Revision < holder.version {
+		// Successors rely on an owner having read everything that was recorded before its term.
+		// After a watch is answered with 410, the keys are read again in pages. Without this check,
+		// the pages could include the claim but miss a cancellation that was written before the
+		// claim and after the page for the cancellation's key was read.
+		if n.store.Mirror.Revision < rec.version {
 			continue
 		}
-		// A peer to which this node granted an extension may still be answering the workers.
-		// The same holds for extensions that earlier incarnations of this node may have granted.
+		// A peer to which this node, or an earlier incarnation of it, granted an extension may
+		// still be answering the workers.
 		if n.now < n.grantedUntil || !n.earlierGrantsEnded(class) {
 			continue
 		}
-		n.claims[class] = &Claim{Class: class, Term: holder.version, Since: n.now}
-		n.log(slog.LevelInfo, "class taken over", "class", class, "term", holder.version)
+		n.claims[class] = &Claim{Class: class, Term: rec.version, Since: n.now}
+		n.log(slog.LevelInfo, "class taken over", "class", class, "term", rec.version)
 	}
 	n.release(handedOver)
 }
@@ -360,7 +361,7 @@
 	return nodeRecord{Node: n.Name, Incarnation: n.Incarnation, Lease: n.lease}
 }
 
-// submit sends a transaction unless the retry delay for key is still running.
+// submit queues a transaction unless the retry delay for key is still running.
 func (n *Node) submit(key string, txn wire.Txn) {
 	if n.now < n.retryAt[key] {
 		return
--- a/internal/ownership/rduc.go
+++ b/internal/ownership/rduc.go
@@ -29,8 +29,8 @@
 	return groups
 }
 
-// connectedClasses returns, sorted, the classes that are linked with the given one through teams,
-// directly or over other classes. It marks them in seen.
+// connectedClasses returns, sorted, the given class and the classes that are linked with it through
+// shared teams, directly or through further classes. It marks them in seen.
 func (d Demand) connectedClasses(class string, teamsOf map[string][]string, seen map[string]bool) []string {
 	seen[class] = true
 	queue := []string{class}
@@ -49,7 +49,7 @@
 }
 
 // Assign maps every class to a node. groups are the RDUCs, classes all known classes, owner the present
-// owner or mapping of each class, and alive the live nodes.
+// owner of each class or, if it has none, the node to which it is mapped, and alive the live nodes.
 //
 // An RDUC stays with its owner; if it has several owners, the live one that has most of its classes gets
 // all of them. An RDUC without a live owner goes to the node with the fewest RDUCs, the leader on a tie.
--- a/internal/reachability/detector.go
+++ b/internal/reachability/detector.go
@@ -21,7 +21,7 @@
 	suspended bool
 
 	gaps, latencies     *sketch
-	consecutiveLongGaps int // consecutive gaps that were long enough to count as down
+	consecutiveLongGaps int // number of consecutive gaps, up to the last one, that were long enough to count as down
 
 	lastMessageAt     time.Duration // when the last unsolicited message arrived; 0: never
 	lastAnswerAt      time.Duration // when the last answer of any kind arrived; 0: never
@@ -89,13 +89,13 @@
 	d.lastMessageAt = max(d.lastMessageAt, now)
 }
 
-// acceptLongGapsAfter is the number of consecutive long gaps after which they count as the new
-// interval between messages.
+// acceptLongGapsAfter is how many consecutive long gaps show that the interval between messages has
+// become longer.
 const acceptLongGapsAfter = 3
 
-// recordGap records a gap between messages. A gap that is long enough to count as down is ignored
-// until acceptLongGapsAfter of them follow each other. Otherwise the outages of a flapping link
-// become its usual gaps and are no longer detected.
+// recordGap records a gap between messages. Gaps that are long enough to count as down are ignored until
+// acceptLongGapsAfter of them follow each other. Without this rule, the outages of a flapping link would
+// become its usual gaps and would no longer be detected.
 func (d *detector) recordGap(gap time.Duration) {
 	overdue := d.overdueGap()
 	if overdue > 0 && d.classifySilence(gap, overdue) == directionDown {
@@ -122,8 +122,8 @@
 	}
 }
 
-// overdueGap returns the time without messages after which the link is suspect, or 0 if no messages
-// are expected.
+// overdueGap returns the time without unsolicited messages after which the link is suspect, or 0 if the
+// gap between them is neither measured nor set.
 func (d *detector) overdueGap() time.Duration {
 	if usualMax := d.gaps.usualMax; usualMax > 0 {
 		return time.Duration(float64(usualMax)*d.settings.SuspectFactor) + d.settings.Slack
@@ -140,8 +140,8 @@
 	return d.maxHold + time.Duration(float64(latency)*d.settings.SuspectFactor) + d.settings.Slack
 }
 
-// silentFor returns the time since the last unsolicited message, or 0 if none has arrived yet or none
-// is expected.
+// silentFor returns the time since the last unsolicited message, or 0 if no such message has arrived yet
+// or is expected.
 func (d *detector) silentFor(now time.Duration) time.Duration {
 	if d.lastMessageAt == 0 || d.overdueGap() == 0 {
 		return 0
@@ -149,14 +149,16 @@
 	return now - d.lastMessageAt
 }
 
-// unansweredFor returns the age of the oldest request that is outstanding or counts as lost, or 0.
+// unansweredFor returns the age of the oldest request without an answer, lost or outstanding, and 0 if
+// there is none.
 func (d *detector) unansweredFor(now time.Duration) time.Duration {
 	oldest := now
 	if d.firstLostSentAt > 0 {
 		oldest = d.firstLostSentAt
 	}
 	for _, sentAt := range d.outstanding {
-		// A slow request does not count if a request that was sent later has been answered.
+		// A request that is outstanding while a later one has been answered is slow, and no sign of a
+		// failed link.
 		if sentAt > max(d.lastServedSentAt, d.lastRefusedSentAt) {
 			oldest = min(oldest, sentAt)
 		}
@@ -174,7 +176,8 @@
 	directionDown
 )
 
-// classifySilence compares a silence with the one after which the link is suspect.
+// classifySilence returns the state of a direction after a silence; overdue is the silence after which the
+// link is suspect.
 func (d *detector) classifySilence(silence, overdue time.Duration) directionState {
 	switch {
 	case silence <= overdue:
--- a/internal/reachability/link.go
+++ b/internal/reachability/link.go
@@ -3,8 +3,8 @@
 //
 // It is a state machine without I/O: the caller records what was sent, answered, lost and received,
 // and when. A Monitor returns the states of the links, their changes, and a View that controllers
-// exchange. How long a silence is normal is measured from the gaps and latencies of each link. A
-// flapping link is suppressed for a while (see damper).
+// exchange. How long a silence is normal is derived from the measured gaps and latencies of each link. A
+// link that fails repeatedly (a flapping link) is suppressed for a while (see damper).
 //
 // The package only judges links. It decides nothing about leases, terms or tasks.
 package reachability
@@ -18,7 +18,7 @@
 type Kind string
 
 // Kinds of links. Requests, writes and watches of the state service are separate kinds because they
-// fail separately: the server holds a watch open on purpose, and only writes are limited by a budget.
+// fail separately: the server holds a watch open on purpose, and writes have a budget of their own.
 const (
 	StateRequests Kind = "state-requests"
 	StateWrites   Kind = "state-writes"
@@ -78,7 +78,7 @@
 	State State
 	// Since is how long the link has been in this state.
 	Since time.Duration
-	// Suppressed: the link has flapped and does not count as working yet.
+	// Suppressed: the link has failed repeatedly and does not count as working yet.
 	Suppressed bool
 	// Penalty is the sum of penalties for its failures after decay; see damper.
 	Penalty float64
--- a/internal/reachability/monitor.go
+++ b/internal/reachability/monitor.go
@@ -53,8 +53,8 @@
 // arrived, no gap between messages makes the link suspect.
 func (m *Monitor) WatchIrregular(link Link) { m.detector(link).irregular = true }
 
-// Suspend stops judging a link on which nothing is expected at present, until the next call of Watch.
-// The link keeps the penalty of its damper.
+// Suspend makes the state of a link Unknown until the next call of Watch, because nothing is expected on
+// the link at present. The penalty of the link is kept, and decays as usual.
 func (m *Monitor) Suspend(link Link) {
 	if d := m.detectors[link]; d != nil {
 		d.suspended, d.lastMessageAt = true, 0
@@ -98,7 +98,7 @@
 }
 
 // ExcludePause excludes a pause of this process from all measured silences: messages that arrived
-// during the pause have not been read yet, so it does not show that the other side was silent.
+// during the pause have not been read yet, so the other side was not necessarily silent.
 func (m *Monitor) ExcludePause(pause time.Duration) {
 	for _, d := range m.sortedDetectors {
 		d.excludePause(pause)
@@ -142,7 +142,8 @@
 }
 
 // View returns the status of all links, sorted by link. Each view has a larger number than the
-// previous one. incarnation identifies this run of the process; numbers start again with each run.
+// previous one. incarnation identifies this incarnation of the controller; the numbers start again with
+// each incarnation.
 func (m *Monitor) View(node string, incarnation uint64) View {
 	m.viewNumber++
 	view := View{Node: node, Life: incarnation, Number: m.viewNumber}
--- a/internal/reachability/monitor_test.go
+++ b/internal/reachability/monitor_test.go
@@ -48,14 +48,14 @@
 
 func newSimulatedLink(t *testing.T, seed uint64) *simulatedLink {
 	sim := &simulatedLink{t: t, rng: rand.New(rand.NewPCG(seed, 3)), monitor: NewMonitor(testSettings(), 0), link: Link{Kind: Peer, Name: "b"}, outboundOpen: true, inboundOpen: true}
-	sim.drawGap = func() time.Duration { return sim.jittered(time.Second, 0.25) }
-	sim.drawLatency = func() time.Duration { return sim.jittered(20*time.Millisecond, 0.5) }
+	sim.drawGap = func() time.Duration { return sim.addJitter(time.Second, 0.25) }
+	sim.drawLatency = func() time.Duration { return sim.addJitter(20*time.Millisecond, 0.5) }
 	sim.monitor.Watch(sim.link, time.Second, 0)
 	return sim
 }
 
-// jittered returns a random duration that differs from mean by at most the fraction spread.
-func (sim *simulatedLink) jittered(mean time.Duration, spread float64) time.Duration {
+// addJitter returns a random duration that differs from mean by at most the fraction spread.
+func (sim *simulatedLink) addJitter(mean time.Duration, spread float64) time.Duration {
 	return time.Duration(float64(mean) * (1 - spread + 2*spread*sim.rng.Float64()))
 }
 
@@ -119,8 +119,9 @@
 	return 0
 }
 
-// TestFailuresOfEachDirectionAreDistinguished closes each direction of a link, both, and makes the
-// other side refuse requests. Each failure must lead to its own state, and the link must recover.
+// TestFailuresOfEachDirectionAreDistinguished closes the outbound direction of a link, the inbound one or
+// both, or makes the other side refuse requests. Each failure must lead to the expected state, and the
+// link must be up again after it.
 func TestFailuresOfEachDirectionAreDistinguished(t *testing.T) {
 	cases := []struct {
 		name                                string
@@ -167,12 +168,12 @@
 				for seed := uint64(1); seed <= 5; seed++ {
 					sim := newSimulatedLink(t, seed)
 					sim.monitor.Watch(sim.link, interval, 0)
-					sim.drawGap = func() time.Duration { return sim.jittered(interval, 0.25) }
+					sim.drawGap = func() time.Duration { return sim.addJitter(interval, 0.25) }
 					sim.drawLatency = func() time.Duration {
 						if sim.rng.Float64() < slowFraction {
-							return sim.jittered(600*time.Millisecond, 0.5)
+							return sim.addJitter(600*time.Millisecond, 0.5)
 						}
-						return sim.jittered(6*time.Millisecond, 0.5)
+						return sim.addJitter(6*time.Millisecond, 0.5)
 					}
 					sim.run(10 * time.Minute)
 					for i, change := range sim.changes {
@@ -192,7 +193,7 @@
 	detectionTime := func(interval time.Duration) time.Duration {
 		sim := newSimulatedLink(t, 1)
 		sim.monitor.Watch(sim.link, interval, 0)
-		sim.drawGap = func() time.Duration { return sim.jittered(interval, 0.25) }
+		sim.drawGap = func() time.Duration { return sim.addJitter(interval, 0.25) }
 		sim.run(3 * time.Minute)
 		sim.outboundOpen, sim.inboundOpen = false, false
 		return sim.runUntil(Down, time.Minute)
@@ -204,11 +205,11 @@
 }
 
 // TestLongerMessageIntervalIsAccepted makes the other side send messages at six times the previous
-// interval. Two minutes later, the link must work without interruption.
+// interval. From two minutes later on, the link must work without interruption.
 func TestLongerMessageIntervalIsAccepted(t *testing.T) {
 	sim := newSimulatedLink(t, 1)
 	sim.run(40 * time.Second)
-	sim.drawGap = func() time.Duration { return sim.jittered(6*time.Second, 0.25) }
+	sim.drawGap = func() time.Duration { return sim.addJitter(6*time.Second, 0.25) }
 	sim.run(2 * time.Minute)
 	before := len(sim.changes)
 	sim.run(5 * time.Minute)
@@ -220,8 +221,8 @@
 }
 
 // TestFlappingLinkIsSuppressed checks that a link that fails every few seconds is suppressed until it
-// has worked for a while, and that one failure does not suppress a link. Without the damper, a
-// flapping link would count as working after each failure.
+// has had no failure for a while, and that one failure does not suppress a link. Without the damper, a
+// flapping link would count as working again after each failure.
 func TestFlappingLinkIsSuppressed(t *testing.T) {
 	for _, period := range []time.Duration{6 * time.Second, 10 * time.Second, 20 * time.Second} {
 		t.Run(period.String(), func(t *testing.T) {
--- a/internal/reachability/sketch.go
+++ b/internal/reachability/sketch.go
@@ -14,7 +14,8 @@
 	sketchWindows           = 3
 )
 
-// minSamples is how many samples a sketch needs before it returns a quantile.
+// minSamples is how many samples a sketch needs before it returns a quantile. A quantile of fewer samples
+// is no better than a guess.
 const minSamples = 20
 
 // sketch holds durations in a histogram of milliseconds with a few time windows. Each rotation drops
@@ -25,8 +26,8 @@
 	mergedStale   bool // samples were recorded since merged was computed
 	samples       [sketchWindows]int
 	currentWindow int
-	// usualQuantile is the quantile that is the usual maximum, and usualMax its value as of the last
-	// refresh; 0: too few samples.
+	// usualMax is the usual maximum: the quantile usualQuantile of the samples as of the last refresh;
+	// 0: too few samples.
 	usualQuantile float64
 	usualMax      time.Duration
 }
--- a/internal/reachability/view.go
+++ b/internal/reachability/view.go
@@ -9,8 +9,8 @@
 // View holds the status of the links of one controller at one time. Controllers exchange views.
 type View struct {
 	Node string
-	// Life identifies the run of the process that made the view, and Number orders the views of this
-	// run.
+	// Life identifies the incarnation of the controller that made the view, and Number orders the views
+	// of this incarnation.
 	Life, Number uint64
 	Links        []Status
 }
@@ -24,9 +24,9 @@
 	WorkersDependency Dependency = "workers"
 )
 
-// Reaches reports whether the controller that made the view reaches a dependency. For the state service
-// all links in a known state must work, for workers one of them. known is false if the view has no link
-// of the dependency in a known state.
+// Reaches reports whether the controller that made the view reaches a dependency. For the state service,
+// all links in a known state must work; for workers, at least one link must work. known is false if the
+// view has no link of the dependency in a known state.
 func (v View) Reaches(dependency Dependency) (reached, known bool) {
 	reached = dependency == StateDependency
 	for _, status := range v.Links {
@@ -72,8 +72,7 @@
 	return &ViewSet{self: self, maxAge: maxAge, views: map[string]receivedView{}}
 }
 
-// Add stores a view. A view that is not newer than the stored view of the same run of its controller is
-// ignored.
+// Add stores a view, unless it is not newer than the stored view of the same incarnation of its controller.
 func (s *ViewSet) Add(view View, now time.Duration) {
 	if stored, ok := s.views[view.Node]; ok && stored.view.Life == view.Life && view.Number <= stored.view.Number {
 		return
--- a/internal/reachability/view_test.go
+++ b/internal/reachability/view_test.go
@@ -14,6 +14,8 @@
 	}}
 }
 
+// TestLossExtent checks which controllers have lost the state service and the workers according to the
+// views of a controller and its peers.
 func TestLossExtent(t *testing.T) {
 	const now = 10 * time.Second
 	cases := []struct {
@@ -47,7 +49,7 @@
 	}
 }
 
-// numbered returns the view with the given run of its process and number.
+// numbered returns the view with the given incarnation and number.
 func numbered(view View, incarnation, number uint64) View {
 	view.Life, view.Number = incarnation, number
 	return view
--- a/internal/statestore/mirror.go
+++ b/internal/statestore/mirror.go
@@ -11,7 +11,7 @@
 )
 
 // Root is the prefix of the mirrored keys. Final job states are stored outside it,
-// because they are kept for ever and would fill the memory.
+// because they are kept forever and would fill the memory.
 const Root = "u/"
 
 // Entry is the value of a mirrored key and the version of that value.
@@ -20,22 +20,23 @@
 	Version uint64
 }
 
-// Change is a change of one mirrored key. If the key was removed, Entry is the last
-// one it had.
+// Change is a change of one mirrored key. If the key was removed, Entry is the key's
+// last entry.
 type Change struct {
 	Key     string
 	Entry   Entry
 	Removed bool
 }
 
-// Mirror is a copy of every key under Root. It reads all keys once and then follows
-// their changes by a watch.
+// Mirror is a copy of every key under Root. It reads all keys once and then receives
+// their changes from a watch.
 type Mirror struct {
 	store    *Store
 	keys     map[string]Entry
 	Revision uint64
 	Loaded   bool
-	// FullReads counts how often all keys were read: at the start, and after each 410.
+	// FullReads counts how often all keys were read: at the start, and after each watch
+	// that was answered with 410.
 	FullReads int
 	// KnownThrough is a time at which a request was sent. The mirror contains every change
 	// made before it.
@@ -123,7 +124,7 @@
 	m.retryAt = m.store.now + limits.StoreBackoff
 }
 
-// handlePage takes a page of a full read. After the last page it removes the keys that
+// handlePage applies one page of a full read. After the last page it removes the keys that
 // were not read.
 func (m *Mirror) handlePage(r Reply) {
 	var rows wire.KeyValuePage
--- a/internal/statestore/record_table.go
+++ b/internal/statestore/record_table.go
@@ -17,9 +17,9 @@
 
 // RecordTable stores many small records of a class in few keys, PREFIX/CLASS/N, which
 // the owner of the class writes. The state service limits writes of keys, not of bytes:
-// with one key for each of several hundred machines and jobs, storing a fleet took
-// minutes. A written record takes effect, on this node as on every other, only when it
-// appears in the mirror.
+// with a key of its own for each of several hundred machines and jobs, storing them
+// would take minutes. A written record takes effect, on this node as on every other,
+// only when it appears in the mirror.
 type RecordTable struct {
 	store         *Store
 	prefix        string
@@ -32,7 +32,7 @@
 	pausedUntil   time.Duration // no transaction before this
 }
 
-// page is one key of a record table, with the records that it holds.
+// page is one key of a record table, with the records stored under the key.
 type page struct {
 	class   string
 	key     string
@@ -113,7 +113,7 @@
 	t.updateSize(pg)
 }
 
-// applyRemoval handles a record that its page no longer holds.
+// applyRemoval handles a record that is no longer in its page.
 func (t *RecordTable) applyRemoval(pg *page, id string) {
 	if wanted, ok := pg.pending[id]; !ok || wanted.value == nil {
 		delete(t.pageOf, id)
@@ -161,9 +161,9 @@
 	}
 }
 
-// Set requests that a record is written. The write may be delayed by up to wait,
-// to be batched with others. With wait 0 the record is urgent: it is written as soon as possible,
-// together with all other pending records of its page.
+// Set requests that a record is written. The write may be delayed by up to wait, to be
+// batched with others. With wait 0 the record is urgent: it is written as soon as
+// possible, together with all other pending records of its page.
 func (t *RecordTable) Set(class, id string, value any, wait time.Duration) {
 	t.set(class, id, value, wait, wait == 0)
 }
@@ -252,7 +252,7 @@
 	records map[string]msgpack.RawMessage
 }
 
-// records returns the records that a page holds once its pending changes are written.
+// records returns the records of a page as they are once its pending changes are written.
 func (pg *page) records() map[string]msgpack.RawMessage {
 	recs := maps.Clone(pg.stored)
 	for id, wanted := range pg.pending {
@@ -354,7 +354,7 @@
 
 // addPage adds a page to the transaction. Records that exceed the page's limit move to
 // other pages in the same transaction; addPage reports whether any did. Without such a
-// split, the state service would reject a page that was filled under larger limits for ever.
+// split, the state service would keep rejecting a page that was filled under larger limits.
 func (t *RecordTable) addPage(w *tableWrite, pg *page) (split bool) {
 	records := pg.records()
 	var moved []movedPart
@@ -362,7 +362,7 @@
 		moved = t.split(pg, records)
 		writes := len(w.txn.Then)
 		if len(moved) > 0 && writes > 0 && writes+1+len(moved) > t.store.MaxWrites() {
-			return false // too large to share this transaction; written by a later one
+			return false // too large to share this transaction; gets one of its own later
 		}
 		moved = moved[:min(len(moved), max(0, t.store.MaxWrites()-1))]
 		for _, part := range moved {
--- a/internal/statestore/record_table_test.go
+++ b/internal/statestore/record_table_test.go
@@ -132,7 +132,7 @@
 				want[id] = class + ":" + text
 			}
 			if rapid.Bool().Draw(t, "step") {
-				h.step(t, func() int { return rapid.IntRange(0, 2).Draw(t, "fate") })
+				h.step(t, func() int { return rapid.IntRange(0, 2).Draw(t, "outcome") })
 			}
 		}
 		for i := 0; i < 6; i++ {
@@ -145,7 +145,7 @@
 }
 
 // TestFullKeysAreSplit guards against a key that was filled under larger limits and would
-// be rejected for ever under smaller ones. The excess records must move to other keys, none
+// be rejected forever under smaller ones. The excess records must move to other keys, none
 // may be lost or reported as removed, and every write must fit the limits.
 func TestFullKeysAreSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -173,7 +173,7 @@
 				set(n, fmt.Sprint(rapid.IntRange(0, 1<<40).Draw(t, "value")))
 			}
 			if rapid.Bool().Draw(t, "step") {
-				h.step(t, func() int { return rapid.IntRange(0, 2).Draw(t, "fate") })
+				h.step(t, func() int { return rapid.IntRange(0, 2).Draw(t, "outcome") })
 			}
 		}
 		for i := 0; i < 20; i++ {
@@ -201,7 +201,7 @@
 }
 
 // TestRecordsOfAnotherOwnerAreNotWritten guards against writes for a class that this node
-// does not own. Nothing may be written, not even under a guard with version 0, which holds
+// does not own. Nothing may be written, not even under a guard with version 0, which passes
 // while no node owns the class.
 func TestRecordsOfAnotherOwnerAreNotWritten(t *testing.T) {
 	h := newTableHarness(t)
--- a/internal/statestore/store.go
+++ b/internal/statestore/store.go
@@ -21,10 +21,10 @@
 const (
 	PriorityLease    Priority = iota // lease renewals and ownership claims, without which the node may not act
 	PriorityUser                     // submissions and cancellations
-	PriorityRecords                  // records that a job or machine needs before it can be used; one write holds many
+	PriorityRecords                  // records that a job or machine needs before it can be used; one write may contain many
 	PriorityFinish                   // job completions
 	PriorityQuery                    // status queries: waiting queries are batched into one request
-	PriorityProgress                 // done bits, clean-up
+	PriorityProgress                 // done bits of tasks, clean-up
 	priorityCount
 )
 
@@ -157,7 +157,7 @@
 }
 
 // MaxWrites returns the largest number of writes that one transaction of this node may
-// hold. It allows for a switch to the announced write budget.
+// contain. It allows for a switch to the announced write budget.
 func (s *Store) MaxWrites() int {
 	limit := s.writeBucket.capacity
 	if s.reducedWriteRPS > 0 {
@@ -224,9 +224,8 @@
 }
 
 // Advance sets the current time without sending or dropping any request. Without it,
-// a node that was suspended for a moment would queue its lease renewal with a time from
-// before the suspension, drop it unsent as too old, and lose a lease that it could have
-// kept.
+// a process that was paused for a moment would queue its lease renewal with a time from
+// before the pause, drop it unsent as too old, and lose a lease that it could have kept.
 func (s *Store) Advance(now time.Duration) { s.now = max(s.now, now) }
 
 // Tick advances the time and returns the calls to make now, as far as the budget allows.
@@ -258,14 +257,14 @@
 			continue
 		}
 		urgent := p == PriorityLease
-		// A transaction with more writes than the bucket holds would wait for ever.
-		// It goes when the bucket is full, and the level becomes negative.
+		// A transaction with more writes than the bucket's capacity would wait forever.
+		// It is sent when the bucket is full, and the level becomes negative.
 		needed := min(float64(r.writes)+s.writeBucket.capacity*writeReserve[p], s.writeBucket.capacity)
 		lacksTokens := r.writes > 0 && (s.savingTokens || s.writeBucket.level < needed)
 		if !urgent && (s.now < s.pausedUntil || len(s.inFlight) >= limits.MaxStoreInFlight || s.requestBucket.level < 1+s.requestBucket.capacity*requestReserve[p] || lacksTokens) {
 			// Without saving, completions with one write each take every token before
-			// enough are left for a transaction of records with several writes, and
-			// hundreds of jobs and all new machines wait for those records.
+			// enough have accumulated for a transaction of records with several writes,
+			// and hundreds of jobs and all new machines wait for those records.
 			s.savingTokens = s.savingTokens || lacksTokens && p != PriorityProgress
 			remaining = append(remaining, queue[i:]...)
 			break
--- a/internal/statestore/store_test.go
+++ b/internal/statestore/store_test.go
@@ -188,10 +188,10 @@
 }
 
 // TestFullReadIsNoNewerThanItsFirstPage guards against a stale mirror that passes for
-// current. After a 410 all keys are read again, page by page. A key that is written in the
-// meantime, in a part already read, is in no page: only the watch from the first page's
-// revision reports it. Until then KnownThrough must not pass the time of the first page's
-// request.
+// current. After a 410 all keys are read again, page by page. A key that is written
+// meanwhile, before the last key read, is in no page: only the watch from the first page's
+// revision reports it. Until then KnownThrough must not pass the time at which the first
+// page was requested.
 func TestFullReadIsNoNewerThanItsFirstPage(t *testing.T) {
 	s, watch := newLoadedStore(t)
 	cancelled, job := Root+"c/job-1", Root+"o/job-1"
--- a/internal/workers/pool.go
+++ b/internal/workers/pool.go
@@ -75,5 +75,5 @@
 
 // MaxSilence returns how long a machine may send no reports before it is presumed dead.
 func (p *Pool) MaxSilence() time.Duration {
-	return max(limits.MinSilence, min(limits.MaxMissedHeartbeats*p.HeartbeatInterval*5/4, p.HeartbeatInterval*5/4+limits.HeartbeatRetryTime))
+	return max(limits.MinSilenceLimit, min(limits.MaxMissedHeartbeats*p.HeartbeatInterval*5/4, p.HeartbeatInterval*5/4+limits.HeartbeatRetryTime))
 }
