--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -16,9 +16,9 @@
 	"umberpaddle/internal/wire"
 )
 
-// simulation runs real cores in a simulated deployment of a state service, a cloud,
-// workers and users, connected by links that lose, delay and repeat messages. It
-// checks the rules of the protocol at every event.
+// simulation runs real cores in a simulated deployment with a state service, a cloud,
+// workers and users. The links between them lose, delay and repeat messages. It checks
+// the rules of the protocol at every event.
 type simulation struct {
 	rng          *rand.Rand
 	now          time.Duration
@@ -30,60 +30,60 @@
 	store      *simStore
 	cloud      *simCloud
 	machines   map[string]*simMachine
-	created    []*simMachine // machines in the order of their creation, which is that of their names
+	created    []*simMachine // machines in the order of creation, which is also the order of their IDs
 	jobs       map[string]*simJob
 	gangs      map[gangKey]*simGang
 	violations []string // descriptions of violated rules
 	taskStarts int
-	taskRuns   []*history.TaskRun // executions of the tasks of arrays, for checks outside the simulation
-
-	maxDelayS       float64            // longest delay of an ordinary message in seconds, at least 0.005
-	lateCopyRate    float64            // fraction of reports of which a late copy is delivered too
-	replayRate      float64            // fraction of reports that are recorded for replay to the next owner
-	replays         []func(n *simNode) // functions that deliver a recorded report to a node
-	newestTerm      uint64             // highest term under which any core acted
-	staleReads      bool               // deliberate fault: nodes answer status queries from memory
-	shareAnswers    bool               // deliberate fault: a repeated submission gets the answer of the one in progress
-	queryAllNodes   bool               // users query all nodes after each new state of a job that they receive
+	taskRuns   []*history.TaskRun // executions of the tasks that belong to no gang, for checks outside the simulation
+
+	maxDelayS       float64            // longest delay in seconds of a message that slowRate does not delay; less than 0.005 means 0.005
+	lateCopyRate    float64            // fraction of heartbeats that are delivered again, 1 s to 2.5 leases later
+	replayRate      float64            // fraction of heartbeats that are recorded for replay when the next owner begins
+	replays         []func(n *simNode) // functions that deliver a recorded heartbeat to a node
+	newestTerm      uint64             // highest term of a machine class under which any core has acted
+	staleReads      bool               // injected fault: nodes answer status queries from memory
+	shareAnswers    bool               // injected fault: a repeated submission gets the answer of the identical one in progress
+	queryAllNodes   bool               // after each new state of a job that is reported to a user, users query all nodes
 	cancelAtEndRate float64            // fraction of jobs that are cancelled when their last task ends
 	// filterPeerMessage, if set, is called when a message to a peer is sent, with a nil answer, and
 	// when the call ends. It may change the message or the answer. If it returns false, the message
-	// is lost or the answer is emptied.
+	// is lost or replaced by an empty answer.
 	filterPeerMessage func(from *simNode, m *PeerMessage, a *PeerAnswer) bool
-	faultsEndedAt     time.Duration          // time at which all faults have ended; 0: not known yet
-	imagesCached      bool                   // machines have every image
-	lateOrderRate     float64                // fraction of direct orders that arrive up to four leases late
-	repeatedOrderRate float64                // fraction of direct orders that are delivered again, up to three leases later
+	faultsEndedAt     time.Duration          // time at which the last fault ended; 0: faults may still occur
+	imagesCached      bool                   // machines have every image, so that tasks start 1 ms after their launch
+	lateOrderRate     float64                // fraction of direct orders that arrive up to four leases late and get no answer
+	repeatedOrderRate float64                // fraction of direct orders that are delivered a second time, up to three leases later
 	slowRate          float64                // fraction of messages that are delayed by 0.5 s to 12 s
 	lossRate          float64                // fraction of messages that are lost
-	cutLinks          map[[2]string]bool     // links, from sender to receiver, that hold messages back
+	cutLinks          map[[2]string]bool     // cut links, from sender to receiver; their messages are held back
 	heldMessages      map[[2]string][]func() // deliveries held back by each link until it is restored
-	trace             func(string, ...any)
+	trace             func(string, ...any)   // receives the injected faults and the log lines of the cores
 	// addressOf, if set, returns the address of a new machine for direct orders over real sockets.
 	addressOf func(m *simMachine) string
-	// sabotage, if set, runs before each step and breaks the core on purpose; the
-	// rule checks must detect the fault.
-	sabotage func(*Core)
+	// injectFault, if set, runs before each step and injects a fault into the core or disables a
+	// guard of it. The rule checks must detect this.
+	injectFault func(*Core)
 	// observe, if set, receives the outputs of each step.
 	observe func(n *simNode, out []Output)
 }
 
 // simConfig describes a simulated deployment.
 type simConfig struct {
-	nodes                    int
-	teams                    []config.Team
-	machineTypes             []wire.MachineType
-	capacity                 map[fleet.Kind]int
-	leaseS, reportS, cancelS float64
-	gangWaitS, gangPeerS     float64             // if gangPeerS is 0, they are 30 and 8
-	nextStateLimits          *config.StateLimits // upcoming limits of the state service; nil: none
-	txnOps                   int
-	valueKB                  float64
-	writeRPS                 float64
-	stateRPS, cloudRPS       float64           // if stateRPS is 0, they are 150 and 3
-	monitorLinks             bool              // controllers monitor their links
-	operatorFile             string            // operator settings of real processes; empty: none
-	transport                http.RoundTripper // carries requests to real processes; nil: the default of net/http
+	nodes                       int
+	teams                       []config.Team
+	machineTypes                []wire.MachineType
+	capacity                    map[fleet.Kind]int
+	leaseS, heartbeatS, cancelS float64             // worker lease, heartbeat interval and cancellation deadline in seconds
+	gangWaitS, gangPeerS        float64             // gang wait time and gang peer time in seconds; if gangPeerS is 0, they are 30 and 8
+	nextStateLimits             *config.StateLimits // upcoming limits of the state service; nil: none
+	txnOps                      int
+	valueKB                     float64
+	writeRPS                    float64
+	stateRPS, cloudRPS          float64           // requests per second; if stateRPS is 0, they are 150 and 3
+	monitorLinks                bool              // controllers monitor their links
+	operatorFile                string            // operator settings of real processes; empty: none
+	transport                   http.RoundTripper // carries requests to real processes; nil: the default of net/http
 }
 
 // scheduledEvent runs a function at a simulated time. Events of the same time run in the order
@@ -113,7 +113,8 @@
 	return x
 }
 
-// newSimulation starts all nodes of a deployment. The seed determines every random draw.
+// newSimulation returns a simulation with all nodes of a deployment started. The seed determines
+// every random draw.
 func newSimulation(seed uint64, cfg simConfig) *simulation {
 	sim := &simulation{rng: rand.New(rand.NewPCG(seed, 7)), cfg: cfg, machines: map[string]*simMachine{}, jobs: map[string]*simJob{}, gangs: map[gangKey]*simGang{},
 		cutLinks: map[[2]string]bool{}, heldMessages: map[[2]string][]func(){}, trace: func(string, ...any) {}}
@@ -151,8 +152,8 @@
 	sim.now = until
 }
 
-// runUntil runs the simulation for at most limit, or until holds returns true, which it checks after
-// each step. It returns the time that this took, or 0 if holds did not return true.
+// runUntil runs the simulation in steps until holds returns true after a step, for at most limit. It
+// returns the simulated time that this took, or 0 if holds never returned true.
 func (sim *simulation) runUntil(step, limit time.Duration, holds func() bool) time.Duration {
 	for start := sim.now; sim.now < start+limit; {
 		sim.run(sim.now + step)
@@ -176,8 +177,8 @@
 // chance draws whether an event of the given probability happens.
 func (sim *simulation) chance(probability float64) bool { return sim.rng.Float64() < probability }
 
-// transmit sends a message over a link, which may delay, hold or lose it. deliver runs
-// when the message arrives.
+// transmit sends a message over a link, which delays it and may hold it back or lose it. deliver
+// runs when the message arrives.
 func (sim *simulation) transmit(from, to string, deliver func()) {
 	if sim.chance(sim.lossRate) {
 		return
@@ -202,8 +203,8 @@
 	sim.setOneWayCut(b, a, cut)
 }
 
-// setOneWayCut cuts or restores a link in one direction. Messages on a cut link are held
-// back and delivered when it is restored.
+// setOneWayCut cuts or restores a link in one direction. Messages that reach the end of a cut link
+// are held back and delivered when the link is restored.
 func (sim *simulation) setOneWayCut(from, to string, cut bool) {
 	link := [2]string{from, to}
 	sim.cutLinks[link] = cut
@@ -215,8 +216,8 @@
 	}
 }
 
-// setInboundCut cuts or restores the links to a machine. While they are cut, its reports
-// arrive, but it receives neither answers nor orders.
+// setInboundCut cuts or restores the links from all controllers to a machine. While the links are
+// cut, the machine's heartbeats arrive, but the machine receives neither replies nor direct orders.
 func (sim *simulation) setInboundCut(machine string, cut bool) {
 	for _, n := range sim.nodes {
 		sim.setOneWayCut(n.label, machine, cut)
@@ -234,8 +235,8 @@
 	}
 }
 
-// call makes a request with a timeout. done is called once, with status 0 if no answer
-// arrived in time.
+// call makes a request: serve runs when the request arrives. done is called once, with status 0 if
+// no answer arrives before the timeout.
 func (sim *simulation) call(from, to string, timeout time.Duration, serve func(answer func(int, []byte)), done func(int, []byte)) {
 	finished := false
 	finish := func(status int, body []byte) {
@@ -261,13 +262,13 @@
 	return encoded
 }
 
-// simNode is a controller: a core in a process that can crash and freeze.
+// simNode is a controller: a core in a process that can crash and be paused.
 type simNode struct {
 	sim          *simulation
 	index        int
 	label        string
 	core         *Core // nil while the process is down
-	incarnation  int   // changes when the process starts or ends
+	incarnation  int   // incremented when the process starts and when it ends
 	startedAt    time.Duration
 	clockDrift   float64 // fraction by which the monotonic clock runs fast
 	steps        int
@@ -276,17 +277,17 @@
 	// openSubmissions holds the functions that answer open submissions, by the body of the
 	// submission. It is used only if shareAnswers is set.
 	openSubmissions map[string][]func(int, []byte)
-	frozenUntil     time.Duration // end of the current freeze; 0: not frozen
-	holdNextOutputs bool          // the next input is still processed, but its outputs are held until the freeze ends
-	deferred        []func()      // held outputs and inputs, processed when the freeze ends
-	// remote, if set, forwards requests to a real process over a socket.
+	pausedUntil     time.Duration // end of the current pause; 0: not paused
+	holdNextOutputs bool          // the next input is still processed, but its outputs are held until the pause ends
+	deferred        []func()      // held outputs and inputs, processed in this order when the pause ends
+	// remote, if set, sends requests to a real process over a socket instead of to the core.
 	remote func(in Input, answer func(int, []byte))
-	// beforeGangs is set if the node behaves like the version before gangs and reads and writes the
-	// records of that version.
+	// beforeGangs makes the node behave like the version before gangs and read and write the records
+	// of that version.
 	beforeGangs bool
 }
 
-// clock returns the clocks of the node. The wall clocks of nodes with successive indexes
+// clock returns the clock readings of the node. The wall clocks of nodes with successive indexes
 // differ by 0.1 s.
 func (n *simNode) clock() Now {
 	elapsed := n.sim.now - n.startedAt
@@ -307,9 +308,10 @@
 		}
 	}
 	cluster := &settings.Cluster
-	// A copy, so that a sabotaged core does not change the limits that the checks use.
+	// A copy, so that an injected fault that changes the teams does not change the limits that the
+	// checks use.
 	cluster.Teams = append([]config.Team(nil), n.sim.cfg.teams...)
-	cluster.Workers.HeartbeatS, cluster.Workers.LeaseS, cluster.Workers.CancelS = n.sim.cfg.reportS, n.sim.cfg.leaseS, n.sim.cfg.cancelS
+	cluster.Workers.HeartbeatS, cluster.Workers.LeaseS, cluster.Workers.CancelS = n.sim.cfg.heartbeatS, n.sim.cfg.leaseS, n.sim.cfg.cancelS
 	cluster.Workers.GangWaitS, cluster.Workers.GangPeerS = n.sim.cfg.gangWaitS, n.sim.cfg.gangPeerS
 	cluster.State.Next = n.sim.cfg.nextStateLimits
 	cluster.State.RPS, cluster.State.WriteRPS, cluster.State.TxnOps, cluster.State.ValueKB = 150, n.sim.cfg.writeRPS, n.sim.cfg.txnOps, n.sim.cfg.valueKB
@@ -332,7 +334,7 @@
 	tick()
 }
 
-// crash ends the process, which starts again after downtime.
+// crash ends the process. A new process starts after downtime.
 func (n *simNode) crash(downtime time.Duration) {
 	if n.core == nil {
 		return
@@ -340,18 +342,18 @@
 	n.sim.trace("crash %s for %v", n.label, downtime)
 	n.core = nil
 	n.incarnation++
-	n.frozenUntil, n.holdNextOutputs, n.deferred = 0, false, nil
+	n.pausedUntil, n.holdNextOutputs, n.deferred = 0, false, nil
 	n.sim.schedule(downtime, n.boot)
 }
 
-// freeze suspends the process while its clocks keep running. The core still processes the
-// next input, but the outputs of that step are sent only after the freeze.
-func (n *simNode) freeze(duration time.Duration) {
-	if n.core == nil || n.frozenUntil > n.sim.now {
+// pause suspends the process while its clocks keep running. The core still processes the next
+// input, but the outputs of that step are sent only after the pause.
+func (n *simNode) pause(duration time.Duration) {
+	if n.core == nil || n.pausedUntil > n.sim.now {
 		return
 	}
-	n.sim.trace("%s stands still for %v", n.label, duration)
-	n.frozenUntil, n.holdNextOutputs = n.sim.now+duration, true
+	n.sim.trace("%s is paused for %v", n.label, duration)
+	n.pausedUntil, n.holdNextOutputs = n.sim.now+duration, true
 	incarnation := n.incarnation
 	n.sim.schedule(duration, func() {
 		deferred := n.deferred
@@ -359,7 +361,7 @@
 		if n.incarnation != incarnation {
 			return
 		}
-		n.frozenUntil = 0
+		n.pausedUntil = 0
 		for _, f := range deferred {
 			if n.incarnation == incarnation && n.core != nil {
 				f()
@@ -368,7 +370,8 @@
 	})
 }
 
-// request passes a request from outside to the core. answer receives the response, if any.
+// request passes a request from another process to the core. answer receives the response. A node
+// that is down does not answer.
 func (n *simNode) request(newInput func(ref uint64) Input, answer func(int, []byte)) {
 	if n.remote != nil {
 		n.remote(newInput(0), answer)
@@ -405,21 +408,21 @@
 	n.step(submission)
 }
 
-// step passes an input to the core and carries out the outputs. While the process is frozen,
-// it defers the input, or the outputs of the one step that freeze allows. It drops inputs beyond
-// twice the size of a core's inbox.
+// step passes an input to the core and carries out the outputs. While the process is paused, step
+// defers the outputs of the first input and all later inputs, and drops inputs beyond twice the
+// size of a server's inbox.
 func (n *simNode) step(input Input) {
 	if n.core == nil {
 		return
 	}
-	if n.frozenUntil > n.sim.now && !n.holdNextOutputs {
+	if n.pausedUntil > n.sim.now && !n.holdNextOutputs {
 		if len(n.deferred) < 2*limits.InboxSize {
 			n.deferred = append(n.deferred, func() { n.step(input) })
 		}
 		return
 	}
-	if n.sim.sabotage != nil {
-		n.sim.sabotage(n.core)
+	if n.sim.injectFault != nil {
+		n.sim.injectFault(n.core)
 	}
 	defer func() {
 		if n.steps++; n.steps%25 == 0 && n.core != nil {
@@ -442,7 +445,7 @@
 	for _, term := range n.core.activeTerms {
 		if term > n.sim.newestTerm {
 			n.sim.newestTerm = term
-			n.sim.deliverKeptReports()
+			n.sim.deliverReplays()
 		}
 	}
 	if n.holdNextOutputs {
@@ -534,11 +537,11 @@
 	}, func(status int, reply []byte) { step(CloudReply{call.ID, status, reply}) })
 }
 
-// callWorker sends direct orders to a worker; they may arrive late, twice or not at all.
+// callWorker sends a direct order to a worker. The order may arrive late, twice or never.
 func (n *simNode) callWorker(call DirectCall) {
 	sim, body, step := n.sim, mustEncode(call.Body), n.stepIfAlive()
 	if call.Body.FencingToken == 0 {
-		sim.reportViolation("token", "%s sends orders to %s without a term: %+v", n.label, call.Address, call.Body.Commands)
+		sim.reportViolation("token", "%s sends a direct order to %s without a fencing token: %+v", n.label, call.Address, call.Body.Commands)
 	}
 	machine := sim.machines[call.Address]
 	if late := n.clock().Steady >= call.Until; late || machine == nil || machine.gone && sim.chance(0.5) {
@@ -547,7 +550,7 @@
 	}
 	serve := func(answer func(int, []byte)) { machine.whenRunning(func() { machine.handleOrders(body, answer) }) }
 	serveUnanswered := func() { serve(func(int, []byte) {}) }
-	if sim.chance(sim.lateOrderRate) { // the orders are delayed and the call gets no answer
+	if sim.chance(sim.lateOrderRate) { // the order is delayed and the call gets no answer
 		sim.schedule(sim.randomDuration(0, 4*sim.cfg.leaseS), serveUnanswered)
 		sim.schedule(limits.DirectOrderTimeout, func() { step(DirectReply{ID: call.ID}) })
 		return
@@ -555,7 +558,7 @@
 	sim.call(n.label, machine.id, limits.DirectOrderTimeout, serve, func(status int, reply []byte) {
 		step(DirectReply{ID: call.ID, Status: status, Body: reply})
 	})
-	if sim.chance(sim.repeatedOrderRate) { // a second delivery of the same orders
+	if sim.chance(sim.repeatedOrderRate) { // the same order is delivered a second time
 		sim.schedule(sim.randomDuration(0, 3*sim.cfg.leaseS), serveUnanswered)
 	}
 }
--- a/internal/controller/simulation_users_test.go
+++ b/internal/controller/simulation_users_test.go
@@ -9,7 +9,7 @@
 	"umberpaddle/internal/wire"
 )
 
-// simJob is a job as its user sees it, with what the workers did for it.
+// simJob is a job: its submission, the progress of its tasks and the states reported to its user.
 type simJob struct {
 	id              string
 	spec            map[string]any
@@ -22,16 +22,16 @@
 	doneCount       int
 	completedAt     time.Duration // when its last task was done
 	accepted        bool
-	reportedState   wire.JobState // final state that a user received; empty: none yet
+	reportedState   wire.JobState // final state that was reported to a user; empty: none yet
 	gang            bool
-	savedCount      int // times that all its tasks saved
+	savedCount      int // number of times that all tasks of the gang saved
 	cancelRequested bool
-	cancelledAt     time.Duration // when a user first received the cancelled state
+	cancelledAt     time.Duration // when the cancelled state was first reported to a user
 	lastAnswerAt    time.Duration // when a status answer last arrived
-	submission      []byte        // its submission, encoded
-	acceptedAt      time.Duration // when a user received the acceptance
+	submission      []byte        // encoded submission
+	acceptedAt      time.Duration // when the acceptance was reported to a user
 	startedAt       time.Duration // when its first task started
-	notWaitingAt    time.Duration // last audit at which it ran, was over or could not start
+	notWaitingAt    time.Duration // last audit at which it ran, was not expected to start or could not start
 }
 
 // submitJob adds a job and submits it. In one case in ten it is submitted twice at the same time.
@@ -43,7 +43,7 @@
 	body := mustEncode(spec)
 	j.submission = body
 	sim.sendSubmission(j)
-	if sim.chance(0.1) { // a second concurrent submission, possibly at another node
+	if sim.chance(0.1) { // the second submission may go to another node
 		sim.sendSubmission(j)
 	}
 	return j
@@ -99,12 +99,12 @@
 	sim.call("users", node.label, 2*time.Second, func(answer func(int, []byte)) {
 		node.request(func(ref uint64) Input { return Query{ref, j.id} }, answer)
 	}, func(status int, body []byte) {
-		// Another answer may have reported a final state while this one was under way. This one may
-		// then be older and isn't checked.
+		// If another answer reported a final state while this query was open, this answer may be
+		// older and isn't checked.
 		if (status == 200 || status == 404) && reported == j.reportedState {
 			sim.checkAnswer(j, status, body)
 		}
-		// Once all faults are over, status queries about every job must be answered again.
+		// After the faults, status queries about every accepted job must be answered again.
 		if since := sim.now - max(sim.faultsEndedAt, j.lastAnswerAt); sim.faultsEndedAt > 0 && j.accepted && since > 75*time.Second {
 			sim.reportViolation("forgotten", "no status query for %s was answered for %v", j.id, since)
 		}
@@ -117,7 +117,8 @@
 	sim.cancelAt(j, sim.nodes[sim.rng.IntN(len(sim.nodes))], func() { sim.cancel(j) })
 }
 
-// cancelAt cancels a job at a node. It calls retry 1 to 2 s later unless the cancellation is confirmed.
+// cancelAt cancels a job at a node. Unless the cancellation is confirmed, it calls retry 1 s to 2 s
+// after the call.
 func (sim *simulation) cancelAt(j *simJob, node *simNode, retry func()) {
 	j.cancelRequested = true
 	accepted := j.accepted
@@ -135,7 +136,7 @@
 	})
 }
 
-// queryUnknownJob queries the status of a job that nobody submitted, which must not be found.
+// queryUnknownJob queries the status of a job that was never submitted and checks that no node finds it.
 func (sim *simulation) queryUnknownJob() {
 	node := sim.nodes[sim.rng.IntN(len(sim.nodes))]
 	id := fmt.Sprintf("job-9%05d", sim.rng.IntN(100000))
@@ -148,8 +149,8 @@
 	})
 }
 
-// checkAnswer checks an answer about a job against what its tasks did and what users received
-// before. It records the first answer with a final state.
+// checkAnswer checks an answer about a job against the progress of its tasks and the states that
+// were reported to users before. It records the first final state.
 func (sim *simulation) checkAnswer(j *simJob, status int, body []byte) {
 	if status == 404 {
 		sim.reportViolation("forgotten", "%s got 404", j.id)
@@ -186,8 +187,9 @@
 	}
 }
 
-// checkAllNodes queries the status of a job and repeats its submission at all nodes within 10 ms
-// after a user received a new state of it. A job that is over is cancelled again in three cases of ten.
+// checkAllNodes is called when a new state of a job is reported to a user. If queryAllNodes is set,
+// it queries the status and repeats the submission at all nodes within 10 ms, and it cancels a job
+// in a final state with a probability of 0.3.
 func (sim *simulation) checkAllNodes(j *simJob) {
 	if !sim.queryAllNodes {
 		return
@@ -219,8 +221,8 @@
 	}
 }
 
-// sendInvalidRequests submits a job that must be rejected, for example since it fits no machine or
-// lacks a field, and cancels a job that is already done.
+// sendInvalidRequests submits a job that must be rejected, for example because it fits no machine or
+// lacks a field, and may cancel a job that is already done.
 func (sim *simulation) sendInvalidRequests() {
 	id := fmt.Sprintf("job-8%05d", sim.rng.IntN(100000))
 	spec := map[string]any{"id": id, "docket": "x", "crew": "blue", "form": "batch", "urgency": "standard", "sheets": 2,
@@ -258,8 +260,9 @@
 	}
 }
 
-// audit checks once a second the rules that no single event can show: cancelled tasks don't run
-// on, and once all faults are over, no job with room to start waits longer than 90 s.
+// audit checks once a second the rules that can be violated without an event: no task of a cancelled job
+// runs past the cancellation deadline, and after the faults no job that could start waits longer
+// than 90 s.
 func (sim *simulation) audit() {
 	for _, id := range sortedKeys(sim.jobs) {
 		j := sim.jobs[id]
@@ -277,8 +280,8 @@
 	sim.schedule(time.Second, sim.audit)
 }
 
-// couldStart reports whether a job has no task on any machine although allowed machines have room
-// for one (for a gang: for all its tasks) and its team stays within its limit.
+// couldStart reports whether a job has no unfinished task on any machine, the machines that it allows
+// have room for one task (for a gang: for all its tasks), and its team would stay within its limit.
 func (sim *simulation) couldStart(j *simJob) bool {
 	need := 1
 	if j.gang {
@@ -335,8 +338,9 @@
 	}
 }
 
-// deliverKeptReports delivers the kept copies of old reports to every node when a new owner begins.
-func (sim *simulation) deliverKeptReports() {
+// deliverReplays delivers the recorded heartbeats to every node. It is called when a core acts
+// under a new term.
+func (sim *simulation) deliverReplays() {
 	for _, deliver := range sim.replays {
 		for _, node := range sim.nodes {
 			sim.schedule(sim.randomDuration(0, 0.2), func() { deliver(node) })
@@ -350,8 +354,8 @@
 	return t.state == wire.TaskRunning || t.state == wire.TaskSaving || t.state == wire.TaskGathering
 }
 
-// checkCancelled checks that no machine executes a task of a cancelled job. A machine that hung
-// past its lease is left out, since it ends its tasks before it continues.
+// checkCancelled checks that no machine executes a task of a cancelled job. A machine that hangs
+// past its lease is left out, since it ends its tasks before it does anything else.
 func (sim *simulation) checkCancelled(j *simJob) {
 	for _, id := range sortedKeys(sim.machines) {
 		m := sim.machines[id]
@@ -366,8 +370,8 @@
 	}
 }
 
-// checkStart checks the rules that a starting task could break: placement, one execution of each
-// task at a time, the limit of the team, and no start after a cancellation.
+// checkStart checks the rules that the start of a task could violate: placement, one execution of
+// each task at a time, the limit of the team, and no start after the cancellation deadline.
 func (sim *simulation) checkStart(m *simMachine, t *simTask, j *simJob) {
 	if j.reportedState == wire.StatusCancelled && sim.now > j.cancelledAt+time.Duration(sim.cfg.cancelS*float64(time.Second)) {
 		sim.reportViolation("ran_cancelled", "%s starts on %s", t.id, m.id)
--- a/internal/controller/simulation_workers_test.go
+++ b/internal/controller/simulation_workers_test.go
@@ -20,9 +20,10 @@
 	createdCount int                 // machines created so far
 	outage       bool                // every request fails with status 503
 	bootFailures float64             // fraction of new machines that never boot; 0 means 0.03
-	bootSlowdown float64             // multiplier of the boot time; 0 means 1
+	bootSlowdown float64             // factor on the boot time, which is 2 s to 9 s; 0 means 1
 }
 
+// serve serves a request to the cloud's API.
 func (c *simCloud) serve(method, path string, body []byte) (int, []byte) {
 	if c.outage {
 		return 503, nil
@@ -35,16 +36,16 @@
 	case target.Path == "/machine_types":
 		return 200, mustEncode(wire.MachineTypes{Types: c.sim.cfg.machineTypes})
 	case target.Path == "/hosts" && method == "POST":
-		var hire wire.RentalRequest
-		if wire.Decode(body, &hire) != nil || hire.Count < 1 || hire.Count > 50 {
+		var rental wire.RentalRequest
+		if wire.Decode(body, &rental) != nil || rental.Count < 1 || rental.Count > 50 {
 			c.sim.reportViolation("limits", "malformed rental")
 			return 400, nil
 		}
-		if ids, ok := c.rentals[hire.Request]; ok {
+		if ids, ok := c.rentals[rental.Request]; ok {
 			return 200, mustEncode(wire.MachineIDs{Machines: ids})
 		}
-		kind := fleet.Kind{Class: hire.Type, Zone: hire.Zone, Spot: hire.Spot}
-		count := min(hire.Count, c.available[kind])
+		kind := fleet.Kind{Class: rental.Type, Zone: rental.Zone, Spot: rental.Spot}
+		count := min(rental.Count, c.available[kind])
 		if count == 0 {
 			return 503, mustEncode(wire.ErrorBody{Error: "no capacity"})
 		}
@@ -52,7 +53,7 @@
 		for i := 0; i < count; i++ {
 			ids = append(ids, c.create(kind).id)
 		}
-		c.rentals[hire.Request] = ids
+		c.rentals[rental.Request] = ids
 		return 200, mustEncode(wire.MachineIDs{Machines: ids})
 	case target.Path == "/hosts/delete":
 		var deletion wire.MachineIDs
@@ -90,7 +91,7 @@
 	c.createdCount++
 	c.available[kind]--
 	id := fmt.Sprintf("i-%06d", c.createdCount)
-	m := &simMachine{sim: c.sim, id: id, address: id, kind: kind, createdAt: c.sim.now, tasks: map[string]*simTask{}, session: 1}
+	m := &simMachine{sim: c.sim, id: id, address: id, kind: kind, createdAt: c.sim.now, tasks: map[string]*simTask{}, incarnation: 1}
 	if c.sim.addressOf != nil {
 		m.address = c.sim.addressOf(m)
 	}
@@ -109,7 +110,7 @@
 	return m
 }
 
-// simTask is a task as its worker sees it.
+// simTask is a task on a worker.
 type simTask struct {
 	id        string
 	job       *simJob
@@ -122,39 +123,41 @@
 
 // simMachine is a simulated machine with its worker.
 type simMachine struct {
-	sim            *simulation
-	id             string
-	address        string // receives direct orders
-	kind           fleet.Kind
-	createdAt      time.Duration
-	up, gone       bool
-	hung           bool
-	reportsDropped bool          // its reports reach no controller
-	deferred       []func()      // calls deferred until the machine no longer hangs
-	faulty         bool          // fails its tasks
-	recallAt       time.Duration // when the cloud terminates this spot machine; 0: not recalled
-	tasks          map[string]*simTask
-	taskOrder      []string // task IDs in the order of their launches
-	session        uint64
-	seq            uint64
-	token          uint64
-	renewedAt      time.Duration // when the report that last renewed the lease was sent
-	nodeIndex      int           // index of the controller that receives the next report
-	inFlight       bool          // a report waits for its answer
-	nextReportAt   time.Duration
-	lastReportAt   time.Duration
-	// nextTokenChange is the earliest time at which a higher token triggers an early report again.
-	nextTokenChange time.Duration
+	sim             *simulation
+	id              string
+	address         string // receives direct orders
+	kind            fleet.Kind
+	createdAt       time.Duration
+	up, gone        bool
+	hung            bool
+	heartbeatsLost  bool          // heartbeats reach no controller
+	deferred        []func()      // calls deferred until the machine resumes
+	faulty          bool          // fails its tasks
+	recallAt        time.Duration // when the cloud terminates this spot machine; 0: not recalled
+	tasks           map[string]*simTask
+	taskOrder       []string      // task IDs in the order of their launches
+	incarnation     uint64        // number of the worker's incarnation
+	seq             uint64        // sequence number of the last heartbeat
+	fencingToken    uint64        // highest fencing token received
+	renewedAt       time.Duration // when the heartbeat whose reply last renewed the lease was sent
+	nodeIndex       int           // index of the controller that receives the next heartbeat
+	inFlight        bool          // a heartbeat waits for its reply
+	nextHeartbeatAt time.Duration
+	lastHeartbeatAt time.Duration
+	// nextTokenHeartbeat is the earliest time at which a higher fencing token triggers an early heartbeat
+	// again.
+	nextTokenHeartbeat time.Duration
 }
 
-// reportTimeout is the longest time that a worker waits for the answer to a report.
-const reportTimeout = 4 * time.Second
+// heartbeatTimeout is the longest time that a worker waits for the reply to a heartbeat.
+const heartbeatTimeout = 4 * time.Second
 
 func (m *simMachine) lease() time.Duration {
 	return time.Duration(m.sim.cfg.leaseS * float64(time.Second))
 }
 
-// whenRunning calls f at once, or defers it until a hanging machine continues.
+// whenRunning checks the lease and calls f, at once or when a hanging machine resumes. On a machine
+// that is gone it does nothing.
 func (m *simMachine) whenRunning(f func()) {
 	if m.gone {
 		return
@@ -167,6 +170,7 @@
 	f()
 }
 
+// start runs when the machine has booted and starts its worker.
 func (m *simMachine) start() {
 	if m.gone {
 		return
@@ -174,31 +178,32 @@
 	m.up = true
 	m.renewedAt = m.sim.now
 	m.nodeIndex = m.sim.rng.IntN(len(m.sim.nodes))
-	m.reportLoop()
+	m.heartbeatLoop()
 }
 
-// reportLoop checks every 100 ms whether a report is due.
-func (m *simMachine) reportLoop() {
+// heartbeatLoop sends a heartbeat when one is due, which it checks every 100 ms.
+func (m *simMachine) heartbeatLoop() {
 	m.whenRunning(func() {
-		if !m.inFlight && m.sim.now >= m.nextReportAt {
-			m.report()
+		if !m.inFlight && m.sim.now >= m.nextHeartbeatAt {
+			m.sendHeartbeat()
 		}
 	})
 	if !m.gone {
-		m.sim.schedule(100*time.Millisecond, m.reportLoop)
+		m.sim.schedule(100*time.Millisecond, m.heartbeatLoop)
 	}
 }
 
-// checkLease ends the session and all tasks of a machine whose lease has expired.
+// checkLease ends all tasks of a machine whose lease has expired and begins a new incarnation of its
+// worker.
 func (m *simMachine) checkLease() {
 	if m.up && !m.gone && m.sim.now-m.renewedAt > m.lease() {
 		m.endAllTasks()
-		m.session++
+		m.incarnation++
 		m.renewedAt = m.sim.now
 	}
 }
 
-// endAllTasks ends every task on the machine. The recorded end is never later than that of the lease.
+// endAllTasks ends every task on the machine. The recorded end is never later than the lease's end.
 func (m *simMachine) endAllTasks() {
 	for _, t := range m.tasks {
 		m.endRun(t)
@@ -212,7 +217,8 @@
 	m.sim.taskRuns = append(m.sim.taskRuns, t.run)
 }
 
-// endRun records the end of a task's execution, which is never later than that of the machine's lease.
+// endRun records the end of a task's execution, which is never later than the end of the machine's
+// lease.
 func (m *simMachine) endRun(t *simTask) {
 	if t.run != nil && t.run.Ended == 0 {
 		t.run.Ended = min(m.sim.now, m.renewedAt+m.lease())
@@ -235,18 +241,18 @@
 	})
 }
 
-// restart ends all tasks and restarts the worker at once, without its token and with a new
-// session. One worker in five also loses its session and sequence numbers and starts from the first.
+// restart ends all tasks and restarts the worker at once as a new incarnation without a fencing
+// token. One worker in five also loses its incarnation and sequence numbers, which start from 1 again.
 func (m *simMachine) restart() {
 	if m.gone || !m.up {
 		return
 	}
 	m.endAllTasks()
-	m.session++
+	m.incarnation++
 	if m.sim.chance(0.2) {
-		m.session, m.seq = 1, 0
+		m.incarnation, m.seq = 1, 0
 	}
-	m.token, m.renewedAt, m.inFlight, m.nextReportAt = 0, m.sim.now, false, m.sim.now
+	m.fencingToken, m.renewedAt, m.inFlight, m.nextHeartbeatAt = 0, m.sim.now, false, m.sim.now
 }
 
 // terminate ends the machine and returns its capacity to the cloud.
@@ -258,78 +264,80 @@
 	}
 }
 
-// buildReport returns the next report, with the state of every task.
-func (m *simMachine) buildReport() *wire.Heartbeat {
+// buildHeartbeat returns the next heartbeat, with the status of every task.
+func (m *simMachine) buildHeartbeat() *wire.Heartbeat {
 	m.seq++
-	report := &wire.Heartbeat{Machine: m.id, Address: m.address, Type: m.kind.Class, Zone: m.kind.Zone, Spot: m.kind.Spot, Incarnation: m.session, Seq: m.seq, FencingToken: m.token, Tasks: []wire.TaskStatus{}}
+	heartbeat := &wire.Heartbeat{Machine: m.id, Address: m.address, Type: m.kind.Class, Zone: m.kind.Zone, Spot: m.kind.Spot, Incarnation: m.incarnation, Seq: m.seq, FencingToken: m.fencingToken, Tasks: []wire.TaskStatus{}}
 	if m.recallAt > 0 {
 		seconds := (m.recallAt - m.sim.now).Seconds()
-		report.RecallS = &seconds
+		heartbeat.RecallS = &seconds
 	}
 	for _, id := range m.taskOrder {
 		if t := m.tasks[id]; t != nil {
-			report.Tasks = append(report.Tasks, wire.TaskStatus{Task: id, Attempt: t.attempt, State: t.state, Cause: t.cause})
+			heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: id, Attempt: t.attempt, State: t.state, Cause: t.cause})
 		}
 	}
-	return report
+	return heartbeat
 }
 
-// reportSoon schedules the next report for 500 ms after the last one, unless it is due earlier.
-func (m *simMachine) reportSoon() {
-	m.nextReportAt = min(m.nextReportAt, m.lastReportAt+500*time.Millisecond)
+// scheduleEarlyHeartbeat schedules the next heartbeat for 500 ms after the last one, unless it is due
+// earlier.
+func (m *simMachine) scheduleEarlyHeartbeat() {
+	m.nextHeartbeatAt = min(m.nextHeartbeatAt, m.lastHeartbeatAt+500*time.Millisecond)
 }
 
-// observeToken stores a higher token. It triggers an early report at most once in half a lease.
+// observeToken stores a higher fencing token. It triggers an early heartbeat at most once in half a
+// lease.
 func (m *simMachine) observeToken(token uint64) {
-	if token <= m.token {
+	if token <= m.fencingToken {
 		return
 	}
-	m.token = token
-	if m.sim.now >= m.nextTokenChange {
-		m.nextTokenChange = m.sim.now + m.lease()/2
-		m.reportSoon()
+	m.fencingToken = token
+	if m.sim.now >= m.nextTokenHeartbeat {
+		m.nextTokenHeartbeat = m.sim.now + m.lease()/2
+		m.scheduleEarlyHeartbeat()
 	}
 }
 
-// report sends a report to a controller and executes the commands in the answer. It follows
+// sendHeartbeat sends a heartbeat to a controller and executes the commands in the reply. It follows
 // redirects to the owner, and tries the next controller after a failure.
-func (m *simMachine) report() {
+func (m *simMachine) sendHeartbeat() {
 	sim := m.sim
 	sent := sim.now
-	m.lastReportAt = sent
+	m.lastHeartbeatAt = sent
 	m.inFlight = true
-	m.nextReportAt = sent + sim.randomDuration(0.75*sim.cfg.reportS, 1.25*sim.cfg.reportS)
-	body := mustEncode(m.buildReport())
-	session := m.session
+	m.nextHeartbeatAt = sent + sim.randomDuration(0.75*sim.cfg.heartbeatS, 1.25*sim.cfg.heartbeatS)
+	body := mustEncode(m.buildHeartbeat())
+	incarnation := m.incarnation
 	node := sim.nodes[m.nodeIndex]
 	deliver := func(node *simNode, answer func(int, []byte)) {
-		report := &wire.Heartbeat{}
-		if err := wire.Decode(body, report); err != nil {
+		heartbeat := &wire.Heartbeat{}
+		if err := wire.Decode(body, heartbeat); err != nil {
 			panic(err)
 		}
-		node.request(func(ref uint64) Input { return HeartbeatRequest{ref, report} }, answer)
+		node.request(func(ref uint64) Input { return HeartbeatRequest{ref, heartbeat} }, answer)
 	}
 	serve := func(answer func(int, []byte)) {
-		if !m.reportsDropped {
+		if !m.heartbeatsLost {
 			deliver(node, answer)
 		}
 	}
 	if sim.chance(sim.replayRate) {
 		sim.replays = append(sim.replays, func(node *simNode) { deliver(node, func(int, []byte) {}) })
 	}
-	if sim.chance(sim.lateCopyRate) { // a copy arrives between 1 s and 2.5 leases late
+	if sim.chance(sim.lateCopyRate) { // a copy arrives 1 s to 2.5 leases later
 		sim.schedule(sim.randomDuration(1, 2.5*sim.cfg.leaseS), func() { serve(func(int, []byte) {}) })
 	}
-	sim.call(m.id, node.label, reportTimeout, serve, func(status int, replyBody []byte) {
+	sim.call(m.id, node.label, heartbeatTimeout, serve, func(status int, replyBody []byte) {
 		m.whenRunning(func() {
 			m.inFlight = false
-			if sim.now-sent > reportTimeout { // the machine hung and reads the answer too late
+			if sim.now-sent > heartbeatTimeout { // the machine hung and reads the reply too late
 				status = 0
 			}
 			switch status {
 			case 200:
 				var reply wire.HeartbeatReply
-				if wire.Decode(replyBody, &reply) != nil || m.session != session || reply.FencingToken < m.token {
+				if wire.Decode(replyBody, &reply) != nil || m.incarnation != incarnation || reply.FencingToken < m.fencingToken {
 					return
 				}
 				m.observeToken(reply.FencingToken)
@@ -343,7 +351,7 @@
 					for i, other := range sim.nodes {
 						if other.label == redirect.Owner {
 							m.nodeIndex = i
-							m.nextReportAt = sim.now
+							m.nextHeartbeatAt = sim.now
 							return
 						}
 					}
@@ -351,31 +359,31 @@
 				fallthrough
 			default:
 				m.nodeIndex = (m.nodeIndex + 1) % len(sim.nodes)
-				m.nextReportAt = sim.now + time.Second
+				m.nextHeartbeatAt = sim.now + time.Second
 			}
 		})
 	})
 }
 
-// handleOrders executes the commands of a direct order. It rejects an order with an older token or
-// of another session, and answers with a report in either case.
+// handleOrders executes the commands of a direct order. It rejects an order that has an older fencing
+// token or was sent to another incarnation. Either answer carries a heartbeat.
 func (m *simMachine) handleOrders(body []byte, answer func(int, []byte)) {
-	var orders wire.Orders
+	var orders wire.DirectOrder
 	if err := wire.Decode(body, &orders); err != nil {
 		panic(err)
 	}
-	if !m.up || orders.FencingToken < m.token || orders.Incarnation != m.session {
-		answer(409, mustEncode(m.buildReport()))
+	if !m.up || orders.FencingToken < m.fencingToken || orders.Incarnation != m.incarnation {
+		answer(409, mustEncode(m.buildHeartbeat()))
 		return
 	}
 	m.observeToken(orders.FencingToken)
 	for _, command := range orders.Commands {
 		m.execute(command)
 	}
-	answer(200, mustEncode(m.buildReport()))
+	answer(200, mustEncode(m.buildHeartbeat()))
 }
 
-// freeResources returns the CPUs and the memory in GB that tasks on the machine leave unused.
+// freeResources returns the CPUs and the memory in GB that no task on the machine uses.
 func (m *simMachine) freeResources() (cpus, memoryGB float64) {
 	for _, machineType := range m.sim.cfg.machineTypes {
 		if machineType.Name == m.kind.Class {
@@ -395,7 +403,7 @@
 func (m *simMachine) execute(command wire.Command) {
 	sim := m.sim
 	t := m.tasks[command.Task]
-	m.reportSoon()
+	m.scheduleEarlyHeartbeat()
 	switch command.Verb {
 	case wire.VerbClear:
 		if t != nil && t.attempt == command.Attempt && t.state == wire.TaskEnded {
@@ -443,7 +451,8 @@
 	}
 }
 
-// beginTask starts a task whose image has been fetched and schedules its end.
+// beginTask starts a task whose image has been fetched and schedules its end. A task of a gang waits
+// for the others first.
 func (m *simMachine) beginTask(t *simTask, j *simJob, taskIndex int) {
 	if m.tasks[t.id] != t || t.state != wire.TaskFetching {
 		return
@@ -454,8 +463,8 @@
 	if j.startedAt == 0 {
 		j.startedAt = sim.now
 	}
-	m.reportSoon()
-	if j.done[taskIndex] { // the result exists already, so the task exits at once
+	m.scheduleEarlyHeartbeat()
+	if j.done[taskIndex] { // the result already exists, so the task exits at once
 		t.state, t.cause = wire.TaskEnded, wire.CauseDone
 		sim.checkStart(m, t, j)
 		return
@@ -493,7 +502,7 @@
 					}
 				}
 			}
-			m.reportSoon()
+			m.scheduleEarlyHeartbeat()
 		})
 	})
 }
--- a/internal/controller/spot_avoidance_test.go
+++ b/internal/controller/spot_avoidance_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestLongBatchesAvoidSpotMachines checks which jobs avoid spot machines. A batch of many long tasks
-// misses its target if only one of a hundred tasks is lost with its spot machine and has to restart.
+// misses its target if even one of a hundred tasks is lost with its spot machine and has to restart.
 func TestLongBatchesAvoidSpotMachines(t *testing.T) {
 	settings := &config.Settings{Label: "a"}
 	settings.Cluster.Workers.HeartbeatS, settings.Cluster.Workers.LeaseS = 4, 22
--- a/internal/controller/stepped_owner_test.go
+++ b/internal/controller/stepped_owner_test.go
@@ -11,8 +11,8 @@
 	"umberpaddle/internal/workers"
 )
 
-// steppedOwner is an owner whose machine runs tasks of one long job. The simulation stands still, so
-// the owner receives only the inputs that the test passes to it.
+// steppedOwner is an owner with a machine that runs tasks of one long job. The simulation does not
+// advance, so the owner receives only the inputs that the test passes to it.
 type steppedOwner struct {
 	t       *testing.T
 	sim     *simulation
@@ -44,19 +44,19 @@
 	return o
 }
 
-// step passes one input to the core at the present time and returns the outputs.
+// step passes one input to the core at the time o.now and returns the outputs.
 func (o *steppedOwner) step(in Input) []Output {
 	return o.core.Step(Now{Steady: o.now, Unix: 1e9 + o.now.Seconds()}, in)
 }
 
-// cancelThroughPeers lets both peers extend the owner's right to act and vouch that the listed jobs are
+// cancelThroughPeers makes both peers grant the owner an extension and vouch that the listed jobs are
 // all those whose cancellation they have confirmed to users.
 func (o *steppedOwner) cancelThroughPeers(ids ...string) {
 	o.grantExtensions(true, ids...)
 }
 
-// grantExtensions lets both peers promise not to take over. With vouching set they also vouch that
-// their list of cancelled jobs is complete.
+// grantExtensions makes both peers grant the owner an extension. If vouching is set, they also vouch
+// that their list of cancelled jobs, ids, is complete.
 func (o *steppedOwner) grantExtensions(vouching bool, ids ...string) {
 	for _, peer := range o.core.settings.Others {
 		call := PeerCall{Peer: peer.Label, Sent: o.now, Msg: PeerMessage{Promise: true}}
@@ -64,8 +64,8 @@
 	}
 }
 
-// advanceWithoutCancellations advances the time while peers extend the owner's right to act but do not
-// vouch for cancellations.
+// advanceWithoutCancellations advances the time while peers grant extensions but do not vouch for
+// their lists of cancelled jobs.
 func (o *steppedOwner) advanceWithoutCancellations(d time.Duration) {
 	for end := o.now + d; o.now < end; {
 		o.now = min(end, o.now+limits.ExtensionInterval)
@@ -73,8 +73,8 @@
 	}
 }
 
-// advanceWithCancellations advances the time while peers extend the owner's right to act and vouch that
-// the listed jobs are all those with a confirmed cancellation.
+// advanceWithCancellations advances the time while peers grant extensions and vouch that the listed
+// jobs are all those with a confirmed cancellation.
 func (o *steppedOwner) advanceWithCancellations(d time.Duration, ids ...string) {
 	for end := o.now + d; o.now < end; {
 		o.now = min(end, o.now+limits.ExtensionInterval)
@@ -82,17 +82,16 @@
 	}
 }
 
-// report passes a report of the machine to the owner and returns the answer.
-func (o *steppedOwner) report(token, seq uint64, tasks []wire.TaskStatus) Answer {
+// sendHeartbeat passes a heartbeat of the machine to the owner and returns the answer.
+func (o *steppedOwner) sendHeartbeat(token, seq uint64, tasks []wire.TaskStatus) Answer {
 	o.t.Helper()
 	m := o.machine
 	return firstAnswer(o.t, o.step(HeartbeatRequest{Ref: 1 << 40, Heartbeat: &wire.Heartbeat{Machine: m.ID, Address: m.Address, Type: m.Class, Zone: m.Zone, Spot: m.Spot,
 		Incarnation: m.Incarnation, Seq: seq, FencingToken: token, Tasks: tasks}}))
 }
 
-// mustStopOrNotRenew checks that an answer does not renew the machine's lease, or that it stops all the
-// given tasks.
-func (o *steppedOwner) mustStopOrNotRenew(answer Answer, tasks []wire.TaskStatus) {
+// mustStopIfRenewed checks that an answer that renews the machine's lease stops all the given tasks.
+func (o *steppedOwner) mustStopIfRenewed(answer Answer, tasks []wire.TaskStatus) {
 	o.t.Helper()
 	if answer.Status != 200 {
 		return
@@ -108,8 +107,8 @@
 	}
 }
 
-// cancelJobOfPreviousOwner cancels a job for which a previous owner has sent the machine an order, and
-// lets more than the maximum staleness pass.
+// cancelJobOfPreviousOwner cancels a job of which a previous owner has ordered a task on the machine,
+// and advances the time by more than MaxStaleness.
 func (o *steppedOwner) cancelJobOfPreviousOwner() {
 	o.t.Helper()
 	o.sendLaunchOrder(true)
@@ -120,8 +119,8 @@
 	o.machine.DirectInFlight = false
 }
 
-// markLaunched makes the owner read the record that tasks of a job may have been launched, and lets it
-// update its state.
+// markLaunched makes the owner read the record that tasks of a job may have been launched, and update
+// its state.
 func (o *steppedOwner) markLaunched(id string) {
 	o.core.jobs.Apply(statestore.Change{Key: statestore.Root + "q/" + id + "/0", Entry: statestore.Entry{Value: mustEncode(map[string]any{"d": ""}), Version: 1 << 41}})
 	o.core.jobsChanged = true
@@ -131,8 +130,8 @@
 	}
 }
 
-// sendLaunchOrder lets the owner send its machine an order that starts a task of another job. With
-// timedOut set, the order then fails without an answer.
+// sendLaunchOrder makes the owner send its machine a direct order that starts a task of job-000002. If
+// timedOut is set, the order then gets no answer.
 func (o *steppedOwner) sendLaunchOrder(timedOut bool) {
 	o.t.Helper()
 	raw, err := wire.Encode(&wire.Job{ID: "job-000002", Team: "blue", Class: "x", Tasks: 1, CPUs: 1, MemoryGB: 1, Types: []string{"small"}, EstimateS: 500})
@@ -146,7 +145,7 @@
 		o.t.Fatal("the owner has not read the job")
 	}
 	job.Active, job.Prepared, job.Frozen = true, true, false
-	// The machine has just reported, and no probe is in flight: otherwise it would not get the order.
+	// The owner sends the order only if the machine has just sent a heartbeat and no probe is in flight.
 	o.machine.LastHeartbeat, o.machine.LastAnswer, o.machine.DirectInFlight = o.now, o.now, false
 	o.core.assign(job, 0, jobs.Assignment{Machine: o.machine.ID, Attempt: 1 << 50, State: jobs.Planned})
 	o.core.plannedMachines = append(o.core.plannedMachines, o.machine.ID)
@@ -159,38 +158,38 @@
 			return
 		}
 	}
-	o.t.Fatal("no order was sent")
+	o.t.Fatal("no direct order was sent")
 }
 
-// mustNotRenew checks that a report that does not list the task of the order does not renew the
+// mustNotRenew checks that a heartbeat that does not list the task of job-000002 does not renew the
 // machine's lease.
 func (o *steppedOwner) mustNotRenew() {
 	o.t.Helper()
 	if !o.core.ownership.MayAnswer() {
 		o.t.Fatal("the owner may not answer workers at all, so the test checks nothing")
 	}
-	if answer := o.report(o.machine.Term, o.machine.Seq+1, o.machine.Tasks); answer.Status == 200 {
+	if answer := o.sendHeartbeat(o.machine.Term, o.machine.Seq+1, o.machine.Tasks); answer.Status == 200 {
 		o.t.Error("the lease of the machine is renewed although an order may still start a cancelled task on it")
 	}
 }
 
-// reportWithToken passes a report to the owner whose worker has seen the given fencing token, and returns
-// all outputs. A worker that has seen only an earlier token does not reject orders of earlier owners.
-func (o *steppedOwner) reportWithToken(token uint64) []Output {
+// sendHeartbeatWithToken passes a heartbeat with the given fencing token to the owner and returns all
+// outputs. A worker that has received only an earlier owner's token still executes that owner's orders.
+func (o *steppedOwner) sendHeartbeatWithToken(token uint64) []Output {
 	o.t.Helper()
 	m := o.machine
 	return o.step(HeartbeatRequest{Ref: 1 << 40, Heartbeat: &wire.Heartbeat{Machine: m.ID, Address: m.Address, Type: m.Class, Zone: m.Zone, Spot: m.Spot,
 		Incarnation: m.Incarnation, Seq: m.Seq + 1, FencingToken: token, Tasks: m.Tasks}})
 }
 
-// fenceOrder returns the order to the owner's machine among the outputs, or nil. The order must contain
-// no commands: it only shows the worker the newer token.
-func (o *steppedOwner) fenceOrder(outputs []Output) *DirectCall {
+// findFence returns the direct order to the owner's machine among the outputs, or nil. It checks that
+// the order is a fence: it has no commands and carries the owner's fencing token.
+func (o *steppedOwner) findFence(outputs []Output) *DirectCall {
 	o.t.Helper()
 	for _, out := range outputs {
 		if call, ok := out.(DirectCall); ok && call.Address == o.machine.Address {
 			if call.Body.FencingToken != o.machine.Term || call.Body.Incarnation != o.machine.Incarnation || len(call.Body.Commands) > 0 {
-				o.t.Errorf("want an order without commands that carries only the token: %+v", call.Body)
+				o.t.Errorf("want a direct order without commands that carries the owner's fencing token: %+v", call.Body)
 			}
 			return &call
 		}
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -58,9 +58,9 @@
 			t.Errorf("%s was not loaded", id)
 		}
 	}
-	big := core.jobs.Open["job-400000"]
-	if big == nil || !big.MayHaveLaunched() || big.DoneCount == 0 || big.DoneCount == big.Tasks {
-		t.Fatalf("the job with many tasks: %+v", big)
+	largeJob := core.jobs.Open["job-400000"]
+	if largeJob == nil || !largeJob.MayHaveLaunched() || largeJob.DoneCount == 0 || largeJob.DoneCount == largeJob.Tasks {
+		t.Fatalf("the job with many tasks: %+v", largeJob)
 	}
 	if job := core.jobs.Open["job-400001"]; job == nil || !job.Cancelled {
 		t.Errorf("the cancelled job: %+v", job)
@@ -129,7 +129,7 @@
 		}
 		check()
 		if skipWait {
-			sim.sabotage = func(core *Core) { core.ownership.SupportedFormat = 2 }
+			sim.injectFault = func(core *Core) { core.ownership.SupportedFormat = 2 }
 		}
 		randomJobs(sim, 30, 120*second)
 		sim.submitJob("job-400000", batchSpec("blue", 20000, 1, 1), 0.2)
@@ -156,14 +156,14 @@
 		sim := runUpgrade(cfg, seed, false)
 		sim.mustKeepRules(t)
 		sim.mustFinish(t)
-		begun := 0
+		startedGangs := 0
 		for _, gang := range sim.gangs {
 			if gang.started {
-				begun++
+				startedGangs++
 			}
 		}
-		if begun < 3 {
-			t.Errorf("%d gangs ran", begun)
+		if startedGangs < 3 {
+			t.Errorf("%d gangs ran", startedGangs)
 		}
 	})
 	for seed := uint64(1); seed <= 4; seed++ {
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -56,7 +56,7 @@
 type Recording struct {
 	Exchanges []Exchange
 	// Runs are all runs of tasks. CancelWithin is the time within which the tasks of a cancelled
-	// job must have ended.
+	// job must have ended after the first answer that confirmed the cancellation.
 	Runs         []TaskRun
 	CancelWithin time.Duration
 	// Completed is the time at which the last task of a job was completed, by job.
@@ -108,10 +108,10 @@
 type reportedState int
 
 const (
-	reportedNothing reportedState = iota
-	reportedUnknown
-	reportedAccepted
-	reportedFinal
+	reportedNothing  reportedState = iota // no answer, or an error that says nothing about the job
+	reportedUnknown                       // no such job
+	reportedAccepted                      // pending or running
+	reportedFinal                         // done or cancelled
 )
 
 // reported returns the state that an answer reports.
--- a/internal/wire/check.go
+++ b/internal/wire/check.go
@@ -23,10 +23,10 @@
 	return nil
 }
 
-// valueHeader is what the first byte of a value specifies about the rest.
+// valueHeader is the type and size of a value, as its first byte specifies them.
 type valueHeader struct {
-	lengthBytes    int    // size of the length field that follows; 0: none follows
-	length         uint64 // number of entries or bytes, if no length field follows
+	lengthBytes    int    // size of the length field after the first byte; 0: there is none
+	length         uint64 // number of entries or bytes, if there is no length field
 	valuesPerEntry uint64 // values per entry of a list or map; 0: the length is in bytes
 	valid          bool
 }
@@ -76,7 +76,7 @@
 		header.length = binary.BigEndian.Uint64(length[:])
 		b = b[header.lengthBytes:]
 	}
-	// Every value takes at least one byte.
+	// Every value takes at least one byte, so a length greater than the rest of the input is malformed.
 	if header.length > uint64(len(b)) || header.valuesPerEntry*header.length > uint64(len(b)) {
 		return nil, errMalformed
 	}
--- a/internal/wire/fuzz_test.go
+++ b/internal/wire/fuzz_test.go
@@ -67,8 +67,8 @@
 			if _, err := Encode(message); err != nil {
 				t.Errorf("%T was decoded, but encoding it again failed: %v", message, err)
 			}
-			if r, ok := message.(*Heartbeat); ok && r.Validate() == nil && r.Machine == "" {
-				t.Errorf("a report without a machine is valid: %+v", r)
+			if heartbeat, ok := message.(*Heartbeat); ok && heartbeat.Validate() == nil && heartbeat.Machine == "" {
+				t.Errorf("a heartbeat without a machine is valid: %+v", heartbeat)
 			}
 		}
 	})
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -65,10 +65,10 @@
 	AllowedTypes []string
 }
 
-// ParseSubmission decodes and validates a submission. Only fields that may be null may be left
-// out: otherwise a job that lacks a field would be accepted and run as if the field were zero.
-// The error is for the user. If only fields other than the ID are invalid, the submission is
-// returned together with the error.
+// ParseSubmission decodes and validates a submission. The error is for the user. Only fields that
+// may be null may be left out. Without this rule, jobs that lacked a field were accepted and run as
+// if the field were zero. If the ID is valid but another field is not, ParseSubmission returns the
+// submission together with the error.
 func ParseSubmission(body []byte) (*Submission, error) {
 	var fields map[string]any
 	if err := Decode(body, &fields); err != nil || fields == nil {
@@ -118,10 +118,11 @@
 	return s, nil
 }
 
-// truncateText shortens text that is only displayed or compared to limits.MaxTextBytes in JSON,
-// the form in which the state service measures records. A text of control characters is six
-// times as long in JSON; without this limit, its record was refused, and with it the records of
-// other users in the same transaction.
+// truncateText shortens a text to limits.MaxTextBytes, so that records stay small. It is for texts
+// that are only displayed or compared. The limit applies to the text in JSON, the form in which the
+// state service measures records: a text of control characters is six times as long in JSON, and
+// when only its own length was limited, the state service refused the record and with it the
+// records of other users in the same transaction.
 func truncateText(s string) string {
 	size := 0
 	for i, r := range s {
@@ -162,7 +163,7 @@
 	}
 }
 
-// get returns the value of a field and whether it is present. Null counts as absent.
+// get returns the value of a field, and whether the field is present. Null counts as absent.
 func (p *fieldParser) get(name string, required bool) (any, bool) {
 	v, ok := p.fields[name]
 	if !ok || v == nil {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,6 +1,6 @@
-// Package wire defines the messages of the protocol: their fields, encoding and
-// validation. The protocol's own names appear only here, in struct tags and in the parser of
-// submissions; Go names use the terms of the field.
+// Package wire defines the messages of the protocol: their fields, encoding and validation. Where
+// the protocol's names for fields and values differ from the usual terms, they appear only in this
+// package.
 package wire
 
 import (
@@ -51,7 +51,7 @@
 const (
 	VerbLaunch Verb = "launch"
 	VerbStop   Verb = "stop"
-	// VerbClear removes an ended attempt from the worker's reports.
+	// VerbClear removes an ended attempt from the worker's heartbeats.
 	VerbClear Verb = "clear"
 )
 
@@ -79,7 +79,7 @@
 	Error string `msgpack:"error"`
 }
 
-// TaskStatus describes one task in a report.
+// TaskStatus describes one task in a heartbeat.
 type TaskStatus struct {
 	Task    string    `msgpack:"sheet"`
 	Attempt uint64    `msgpack:"try"`
@@ -88,8 +88,11 @@
 	Saved   bool      `msgpack:"kept"`
 }
 
-// Heartbeat is a worker's periodic report. Session and Seq number the worker's sessions and the
-// reports of a session; Token is a fencing token.
+// Heartbeat is the message that a worker sends periodically, and in reply to a direct order.
+// Incarnation numbers the incarnations of the worker: a new one begins when the worker restarts or
+// its lease ends. Seq numbers the heartbeats of an incarnation. FencingToken is the highest fencing
+// token that the worker has seen. RecallS is the time until the cloud takes the machine away, or nil
+// if that is not announced.
 type Heartbeat struct {
 	Machine      string       `msgpack:"hut"`
 	Address      string       `msgpack:"address"`
@@ -103,20 +106,21 @@
 	Tasks        []TaskStatus `msgpack:"sheets"`
 }
 
-// Validate checks what decoding does not. A text that fits no record is invalid: without this
-// check, the machine's record could never be written, nor the records waiting for the same write.
-func (r *Heartbeat) Validate() error {
-	if r.Machine == "" {
+// Validate checks what decoding does not. A text that is too long for a record is invalid: without
+// this check, the record of the machine could never be written, nor the records that wait to be
+// written with it.
+func (h *Heartbeat) Validate() error {
+	if h.Machine == "" {
 		return errors.New("hut: missing")
 	}
-	for _, field := range [...]struct{ name, text string }{{"hut", r.Machine}, {"address", r.Address}, {"build", r.Type}, {"valley", r.Zone}} {
-		// Hundreds of reports arrive each second, so texts that fit even if every byte is
-		// escaped are not scanned.
+	for _, field := range [...]struct{ name, text string }{{"hut", h.Machine}, {"address", h.Address}, {"build", h.Type}, {"valley", h.Zone}} {
+		// Hundreds of heartbeats arrive each second, so a text that fits even if every byte is
+		// escaped is not scanned.
 		if len(field.text) > limits.MaxTextBytes/jsonEscapeBytes && jsonTextBytes(field.text) > limits.MaxTextBytes {
 			return fmt.Errorf("%s: longer than %d bytes", field.name, limits.MaxTextBytes)
 		}
 	}
-	if s := r.RecallS; s != nil && !(math.Abs(*s) <= limits.MaxSeconds) {
+	if s := h.RecallS; s != nil && !(math.Abs(*s) <= limits.MaxSeconds) {
 		return errors.New("recallS: want a finite number of seconds")
 	}
 	return nil
@@ -130,20 +134,22 @@
 	GraceS  float64 `msgpack:"leewayS,omitempty"`
 }
 
-// HeartbeatReply is the owner's reply to a report.
+// HeartbeatReply is the owner's reply to a heartbeat. It renews the worker's lease.
 type HeartbeatReply struct {
 	FencingToken uint64    `msgpack:"baton"`
 	Commands     []Command `msgpack:"orders"`
 }
 
-// Orders holds commands that an owner sends straight to a worker, not in the reply to a report.
-type Orders struct {
+// DirectOrder holds commands that an owner sends straight to a worker, outside a heartbeat reply. The
+// worker refuses the order if Incarnation is not its own or it has seen a higher fencing token.
+type DirectOrder struct {
 	FencingToken uint64    `msgpack:"baton"`
 	Incarnation  uint64    `msgpack:"shift"`
 	Commands     []Command `msgpack:"orders"`
 }
 
-// Redirect is the reply of a node that doesn't own the class of the reporting machine.
+// Redirect is the reply to a heartbeat from a controller that does not own the machine's class. It
+// names the owner.
 type Redirect struct {
 	Owner string `msgpack:"steward,omitempty"`
 }
@@ -176,7 +182,7 @@
 	Count   int    `msgpack:"count"`
 }
 
-// MachineIDs lists machines, in a reply to RentalRequest and in a deletion.
+// MachineIDs is the reply to RentalRequest, and the body of a request to delete machines.
 type MachineIDs struct {
 	Machines []string `msgpack:"huts"`
 }
@@ -208,7 +214,7 @@
 	MachineFailed  MachineStatus = "failed"
 )
 
-// KeyValue is a key of the state service with its value.
+// KeyValue is a key of the state service with its value, version and lease.
 type KeyValue struct {
 	Key     string             `msgpack:"path"`
 	Value   msgpack.RawMessage `msgpack:"v"`
@@ -254,12 +260,12 @@
 	TTLMs int64 `msgpack:"ttlMs"`
 }
 
-// LeaseReply holds the number of a lease.
+// LeaseReply names a granted lease.
 type LeaseReply struct {
 	Lease uint64 `msgpack:"permit"`
 }
 
-// Event is one change that a watch returns.
+// Event is one change that a watch returns: a put (Put) or a removal (Remove).
 type Event struct {
 	Put     string             `msgpack:"put"`
 	Remove  string             `msgpack:"remove"`
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -79,8 +79,8 @@
 			t.Errorf("sheets=%v: accepted", v)
 		}
 	}
-	// Some of these bodies announce billions of entries in a few bytes. Without the check of the
-	// structure, a body of 40 bytes used up all memory.
+	// Some of these bodies announce billions of entries in a few bytes. Without
+	// CheckWellFormed, a body of 40 bytes used up all memory.
 	for _, b := range [][]byte{nil, {0xc1}, {0x93, 1, 2, 3}, {0xc0}, bytes.Repeat([]byte{0xdf}, 40), {0xdd, 0xff, 0xff, 0xff, 0xff}, bytes.Repeat([]byte{0x91}, 1000), {0x81, 0xa1, 'a'}} {
 		if _, err := ParseSubmission(b); err == nil {
 			t.Errorf("% x: accepted", b)
@@ -88,8 +88,8 @@
 	}
 }
 
-// TestLongTextsFitRecord checks that a submission with long names results in a record that fits a
-// value of the state service.
+// TestLongTextsFitRecord checks that the record of a submission with long names stays below the
+// maximum size of a value in the state service.
 func TestLongTextsFitRecord(t *testing.T) {
 	fields := validSubmission()
 	fields["plate"], fields["docket"] = strings.Repeat("p", 20000), strings.Repeat("d", 20000)
@@ -102,7 +102,8 @@
 	}
 }
 
-// TestEncodedBytes checks the exact encoding of messages that workers receive and send.
+// TestEncodedBytes checks the encoding of a message to a worker and the decoding of a message from a
+// worker, byte for byte.
 func TestEncodedBytes(t *testing.T) {
 	got, err := Encode(HeartbeatReply{FencingToken: 41, Commands: []Command{{Verb: VerbStop, Task: "job-1/0", Attempt: 2, GraceS: 10}}})
 	if err != nil {
@@ -113,11 +114,11 @@
 		t.Errorf("got %q", got)
 	}
 	in := "\x87\xa3hut\xa3i-1\xa5build\xa2g8\xa5shift\x01\xa5tally\xcc\xc8\xa5baton\x29\xa7recallS\xc0\xa6sheets\x91\x84\xa5sheet\xa7job-1/0\xa3try\x02\xa6status\xa5ended\xa5cause\xa4done"
-	var r Heartbeat
-	if err := Decode([]byte(in), &r); err != nil {
+	var heartbeat Heartbeat
+	if err := Decode([]byte(in), &heartbeat); err != nil {
 		t.Fatal(err)
 	}
-	if d := cmp.Diff(Heartbeat{Machine: "i-1", Type: "g8", Incarnation: 1, Seq: 200, FencingToken: 41, Tasks: []TaskStatus{{Task: "job-1/0", Attempt: 2, State: TaskEnded, Cause: CauseDone}}}, r); d != "" {
+	if d := cmp.Diff(Heartbeat{Machine: "i-1", Type: "g8", Incarnation: 1, Seq: 200, FencingToken: 41, Tasks: []TaskStatus{{Task: "job-1/0", Attempt: 2, State: TaskEnded, Cause: CauseDone}}}, heartbeat); d != "" {
 		t.Error(d)
 	}
 }
@@ -161,30 +162,30 @@
 	}
 }
 
-func TestReportValidation(t *testing.T) {
-	good := func() *Heartbeat { return &Heartbeat{Machine: "i-1", Address: "10.1.0.1:9000", Type: "g8", Zone: "a"} }
-	if err := good().Validate(); err != nil {
+func TestHeartbeatValidation(t *testing.T) {
+	validHeartbeat := func() *Heartbeat { return &Heartbeat{Machine: "i-1", Address: "10.1.0.1:9000", Type: "g8", Zone: "a"} }
+	if err := validHeartbeat().Validate(); err != nil {
 		t.Error(err)
 	}
 	long, nan, inf, justPassed := strings.Repeat("x", 300), math.NaN(), math.Inf(1), -0.5
-	for name, invalidate := range map[string]func(r *Heartbeat){
-		"no machine":   func(r *Heartbeat) { r.Machine = "" },
-		"long machine": func(r *Heartbeat) { r.Machine = long },
-		"long address": func(r *Heartbeat) { r.Address = long },
-		"long type":    func(r *Heartbeat) { r.Type = long },
-		"long zone":    func(r *Heartbeat) { r.Zone = long },
-		"recall NaN":   func(r *Heartbeat) { r.RecallS = &nan },
-		"recall inf":   func(r *Heartbeat) { r.RecallS = &inf },
+	for name, invalidate := range map[string]func(h *Heartbeat){
+		"no machine":   func(h *Heartbeat) { h.Machine = "" },
+		"long machine": func(h *Heartbeat) { h.Machine = long },
+		"long address": func(h *Heartbeat) { h.Address = long },
+		"long type":    func(h *Heartbeat) { h.Type = long },
+		"long zone":    func(h *Heartbeat) { h.Zone = long },
+		"recall NaN":   func(h *Heartbeat) { h.RecallS = &nan },
+		"recall inf":   func(h *Heartbeat) { h.RecallS = &inf },
 	} {
-		r := good()
-		invalidate(r)
-		if r.Validate() == nil {
+		h := validHeartbeat()
+		invalidate(h)
+		if h.Validate() == nil {
 			t.Errorf("%s: accepted as valid", name)
 		}
 	}
-	r := good()
-	r.RecallS = &justPassed
-	if err := r.Validate(); err != nil {
+	h := validHeartbeat()
+	h.RecallS = &justPassed
+	if err := h.Validate(); err != nil {
 		t.Errorf("a recall whose time has just passed: %v", err)
 	}
 }
--- a/internal/workers/heartbeats.go
+++ b/internal/workers/heartbeats.go
@@ -6,15 +6,15 @@
 	"umberpaddle/internal/wire"
 )
 
-// Verdict is what a report proves about a machine, and whether this owner may answer it.
+// Verdict is what a heartbeat proves about its machine, and whether this owner may answer it.
 type Verdict int
 
 // Verdicts.
 const (
-	Stale     Verdict = iota // older than a report received before: must not be answered with 200
+	Stale     Verdict = iota // not newer than a heartbeat received before: must not be answered with 200
 	Deposed                  // the worker has seen a higher fencing token than this owner's
-	Overtaken                // may be answered, but its task list is older than that of an order's reply
-	Unproven                 // may be answered, but its task list may miss tasks: the worker has not seen this owner's token
+	Overtaken                // may be answered, but its task list is older than that of the reply to a direct order
+	Unproven                 // may be answered, but its task list proves nothing yet: the worker has not seen this owner's fencing token
 	Current                  // its task list is complete and up to date
 )
 
@@ -33,91 +33,92 @@
 	return "current"
 }
 
-// Receive processes a report of a machine whose class this controller owns with the given
-// term, and returns the machine and the verdict. Only Current reports change Tasks. since is
-// the latest time at which an earlier owner may have answered the machine.
-func (p *Pool) Receive(now time.Duration, report *wire.Heartbeat, term uint64, since time.Duration) (*Machine, Verdict) {
-	machine := p.GetOrAdd(report.Machine, report.Type, report.Zone, report.Spot, since)
+// Receive processes a heartbeat of a machine whose class this controller owns with the given term,
+// and returns the machine and the verdict. Only a Current heartbeat changes Tasks. The time since is
+// the latest at which an earlier owner may have answered a heartbeat of the machine.
+func (p *Pool) Receive(now time.Duration, heartbeat *wire.Heartbeat, term uint64, since time.Duration) (*Machine, Verdict) {
+	machine := p.GetOrAdd(heartbeat.Machine, heartbeat.Type, heartbeat.Zone, heartbeat.Spot, since)
 	if machine.Term != term {
-		// This is a new term of this owner: nothing is proved in it yet.
+		// In a new term of this owner, nothing is proved yet.
 		machine.Term, machine.Adopted, machine.Incarnation, machine.Seq, machine.lastHeartbeatSeq = term, false, 0, 0, 0
 	}
-	if report.FencingToken > term {
+	if heartbeat.FencingToken > term {
 		return machine, Deposed
 	}
-	// Messages may arrive out of order; (session, sequence number) is the order in which they
-	// were sent.
-	if report.Incarnation < machine.Incarnation || (report.Incarnation == machine.Incarnation && report.Seq <= machine.lastHeartbeatSeq) {
+	// Heartbeats may arrive out of order. They were sent in the order of incarnation and sequence
+	// number.
+	if heartbeat.Incarnation < machine.Incarnation || (heartbeat.Incarnation == machine.Incarnation && heartbeat.Seq <= machine.lastHeartbeatSeq) {
 		return machine, Stale
 	}
-	if report.Incarnation == machine.Incarnation && report.Seq <= machine.Seq {
-		// The worker sent this report before its reply to an order, which arrived first. The
-		// report still has to be answered, but its task list is out of date.
-		machine.lastHeartbeatSeq = report.Seq
+	if heartbeat.Incarnation == machine.Incarnation && heartbeat.Seq <= machine.Seq {
+		// The worker sent this heartbeat before its reply to a direct order, but the reply arrived
+		// first. The heartbeat still has to be answered, but its task list is out of date.
+		machine.lastHeartbeatSeq = heartbeat.Seq
 		machine.LastHeartbeat, machine.LastAnswer, machine.LeaseExpired = now, now, false
 		return machine, Overtaken
 	}
-	if report.Incarnation != machine.Incarnation {
-		// From now on the worker refuses orders that name an earlier session.
+	if heartbeat.Incarnation != machine.Incarnation {
+		// The worker now refuses direct orders that name an earlier incarnation.
 		clear(machine.Orders)
 	}
-	machine.lastHeartbeatSeq = report.Seq
-	machine.Address, machine.Class, machine.Zone, machine.Spot = report.Address, report.Type, report.Zone, report.Spot
-	machine.Incarnation, machine.Seq = report.Incarnation, report.Seq
+	machine.lastHeartbeatSeq = heartbeat.Seq
+	machine.Address, machine.Class, machine.Zone, machine.Spot = heartbeat.Address, heartbeat.Type, heartbeat.Zone, heartbeat.Spot
+	machine.Incarnation, machine.Seq = heartbeat.Incarnation, heartbeat.Seq
 	machine.LastHeartbeat, machine.LastAnswer, machine.LeaseExpired, machine.ProbeFailed, machine.FoundByProbe = now, now, false, false, false
-	machine.updateRecall(now, report)
-	if report.FencingToken != term {
+	machine.updateRecall(now, heartbeat)
+	if heartbeat.FencingToken != term {
 		machine.Adopted = false
 		return machine, Unproven
 	}
 	machine.Adopted = true
-	machine.Tasks = report.Tasks
+	machine.Tasks = heartbeat.Tasks
 	return machine, Current
 }
 
-// ReceiveOrderReply processes the report in a worker's reply to an order. It reports whether
-// the report is the newest and its task list is complete; only then is the list used. It does
-// not renew the worker's lease.
-func (p *Pool) ReceiveOrderReply(now time.Duration, machine *Machine, report *wire.Heartbeat) bool {
-	if !machine.Adopted || machine.LeaseExpired || report.FencingToken != machine.Term || report.Incarnation != machine.Incarnation || report.Seq <= machine.Seq {
+// ReceiveOrderReply processes the heartbeat in a worker's reply to a direct order. It reports whether
+// the heartbeat is the newest and its task list is complete; only then is the list used. Such a reply
+// does not renew the worker's lease.
+func (p *Pool) ReceiveOrderReply(now time.Duration, machine *Machine, heartbeat *wire.Heartbeat) bool {
+	if !machine.Adopted || machine.LeaseExpired || heartbeat.FencingToken != machine.Term || heartbeat.Incarnation != machine.Incarnation || heartbeat.Seq <= machine.Seq {
 		return false
 	}
-	machine.Seq, machine.LastHeartbeat, machine.Tasks = report.Seq, now, report.Tasks
-	machine.updateRecall(now, report)
+	machine.Seq, machine.LastHeartbeat, machine.Tasks = heartbeat.Seq, now, heartbeat.Tasks
+	machine.updateRecall(now, heartbeat)
 	return true
 }
 
-// ReceiveProbeReply processes the report in a worker's reply to a probe that named the given
-// term of this owner and the given session. It reports whether the task list is complete and
-// used, as that of a Current report: this requires that term is the highest token that the
-// worker has seen, and that the session is the worker's. If the worker has not seen the token
-// or is in another session, ReceiveProbeReply records the session that the next probe has to
-// name. It does not renew the worker's lease.
-func (p *Pool) ReceiveProbeReply(now time.Duration, machine *Machine, report *wire.Heartbeat, term, session uint64) bool {
-	if report.FencingToken > term || machine.LeaseExpired {
+// ReceiveProbeReply processes the heartbeat in a worker's reply to a probe or a fence, a direct order
+// that named the given term of this owner and the given incarnation. It reports whether the task
+// list is complete and used, like that of a Current heartbeat. This requires that term is the highest
+// fencing token that the worker has seen, that the incarnation is the worker's, and that the
+// heartbeat is the newest. If the worker has not seen the token or has another incarnation, the next
+// probe is due at once and names the worker's incarnation. Such a reply does not renew the worker's
+// lease.
+func (p *Pool) ReceiveProbeReply(now time.Duration, machine *Machine, heartbeat *wire.Heartbeat, term, incarnation uint64) bool {
+	if heartbeat.FencingToken > term || machine.LeaseExpired {
 		return false
 	}
 	machine.ProbeFailed = false
-	if report.FencingToken != term || report.Incarnation != session {
-		machine.ProbeIncarnation, machine.NextProbe = report.Incarnation, now
+	if heartbeat.FencingToken != term || heartbeat.Incarnation != incarnation {
+		machine.ProbeIncarnation, machine.NextProbe = heartbeat.Incarnation, now
 		return false
 	}
 	if machine.Term != term {
 		machine.Term, machine.Adopted, machine.Incarnation, machine.Seq, machine.lastHeartbeatSeq = term, false, 0, 0, 0
 	}
-	if report.Incarnation < machine.Incarnation || (report.Incarnation == machine.Incarnation && report.Seq <= machine.Seq) {
+	if heartbeat.Incarnation < machine.Incarnation || (heartbeat.Incarnation == machine.Incarnation && heartbeat.Seq <= machine.Seq) {
 		return false
 	}
-	if report.Incarnation != machine.Incarnation {
+	if heartbeat.Incarnation != machine.Incarnation {
 		clear(machine.Orders)
 		machine.lastHeartbeatSeq = 0
-		// A session of which no report has been answered may have begun at any time up to now,
-		// and it lasts for one lease, so the lease is counted from now. Without this, tasks ran
-		// twice: a worker that reached no controller was sent tasks by direct orders in its new
-		// session, and these tasks were taken to end with the previous session's lease.
+		// An incarnation of which no heartbeat has been answered may have begun at any time up to
+		// now, and it lasts for one lease, so the lease is counted from now. Without this, tasks
+		// ran twice: a worker that reached no controller was sent tasks by direct orders in its new
+		// incarnation, and the end of the previous incarnation's lease was taken for their end.
 		machine.LastAnswer, machine.FoundByProbe = now, true
 	}
-	machine.Adopted, machine.Incarnation, machine.Seq, machine.LastHeartbeat, machine.Tasks = true, report.Incarnation, report.Seq, now, report.Tasks
-	machine.updateRecall(now, report)
+	machine.Adopted, machine.Incarnation, machine.Seq, machine.LastHeartbeat, machine.Tasks = true, heartbeat.Incarnation, heartbeat.Seq, now, heartbeat.Tasks
+	machine.updateRecall(now, heartbeat)
 	return true
 }
--- a/internal/workers/pool.go
+++ b/internal/workers/pool.go
@@ -1,5 +1,5 @@
-// Package workers tracks the workers' machines: their reports, whether their tasks are known for
-// certain, when their leases end, and the orders sent directly to them.
+// Package workers tracks the workers' machines: their heartbeats, whether their tasks are known for
+// certain, when their leases end, and the direct orders sent to them.
 package workers
 
 import (
@@ -18,11 +18,11 @@
 	sorted            []*Machine          // cached result of Sorted; nil: out of date
 }
 
-// New returns an empty pool for the given lease and report interval, in seconds.
-func New(leaseS, reportS float64) *Pool {
+// New returns an empty pool for the given lease and heartbeat interval, in seconds.
+func New(leaseS, heartbeatIntervalS float64) *Pool {
 	return &Pool{
 		LeaseDuration:     limits.Seconds(leaseS),
-		HeartbeatInterval: limits.Seconds(reportS),
+		HeartbeatInterval: limits.Seconds(heartbeatIntervalS),
 		Machines:          map[string]*Machine{},
 	}
 }
@@ -42,8 +42,8 @@
 }
 
 // GetOrAdd returns the machine with the given ID, and adds it if the pool does not have it. The
-// tasks of an added machine are unknown. since is the latest time at which any controller may have
-// answered it.
+// tasks of an added machine are unknown. The time since is the latest at which any controller may
+// have answered a heartbeat of the machine.
 func (p *Pool) GetOrAdd(id, class, zone string, spot bool, since time.Duration) *Machine {
 	machine := p.Machines[id]
 	if machine == nil {
@@ -62,7 +62,7 @@
 	p.sorted = nil
 }
 
-// LeaseEnd returns the time from which a machine whose last report was answered at the given time
+// LeaseEnd returns the time after which a machine whose last heartbeat was answered at the given time
 // has no tasks any more. It allows for clock drift and adds limits.LeaseMargin.
 func (p *Pool) LeaseEnd(answered time.Duration) time.Duration {
 	return answered + time.Duration(float64(p.LeaseDuration)*(1+limits.ClockDrift)) + limits.LeaseMargin
@@ -73,7 +73,7 @@
 	return now > p.LeaseEnd(machine.LastAnswer)
 }
 
-// MaxSilence returns how long a machine may send no reports before it is presumed dead.
+// MaxSilence returns how long a machine may be silent before it is presumed dead.
 func (p *Pool) MaxSilence() time.Duration {
 	return max(limits.MinSilenceLimit, min(limits.MaxMissedHeartbeats*p.HeartbeatInterval*5/4, p.HeartbeatInterval*5/4+limits.HeartbeatRetryTime))
 }
--- a/internal/workers/pool_test.go
+++ b/internal/workers/pool_test.go
@@ -7,37 +7,37 @@
 	"umberpaddle/internal/wire"
 )
 
-// newReport returns a report of machine i-1 with the given running tasks.
-func newReport(session, seq, token uint64, tasks ...string) *wire.Heartbeat {
-	r := &wire.Heartbeat{Machine: "i-1", Type: "c", Incarnation: session, Seq: seq, FencingToken: token}
+// newHeartbeat returns a heartbeat of machine i-1 with the given running tasks.
+func newHeartbeat(incarnation, seq, token uint64, tasks ...string) *wire.Heartbeat {
+	heartbeat := &wire.Heartbeat{Machine: "i-1", Type: "c", Incarnation: incarnation, Seq: seq, FencingToken: token}
 	for _, task := range tasks {
-		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: task, Attempt: 1, State: wire.TaskRunning})
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: task, Attempt: 1, State: wire.TaskRunning})
 	}
-	return r
+	return heartbeat
 }
 
-func TestReportVerdicts(t *testing.T) {
+func TestHeartbeatVerdicts(t *testing.T) {
 	p := New(14, 1.5)
 	steps := []struct {
-		name    string
-		report  *wire.Heartbeat
-		term    uint64
-		want    Verdict
-		adopted bool
-		tasks   int
+		name      string
+		heartbeat *wire.Heartbeat
+		term      uint64
+		want      Verdict
+		adopted   bool
+		tasks     int
 	}{
-		{"an older token proves nothing", newReport(1, 5, 3, "j/0"), 7, Unproven, false, 0},
-		{"the owner's token makes the report current", newReport(1, 6, 7, "j/0", "j/1"), 7, Current, true, 2},
-		{"a late report changes nothing", newReport(1, 5, 7), 7, Stale, true, 2},
-		{"the same report again changes nothing", newReport(1, 6, 7), 7, Stale, true, 2},
-		{"a report of a new session is used although its sequence number is lower", newReport(2, 1, 7), 7, Current, true, 0},
-		{"a report of an earlier session is not used", newReport(1, 99, 7, "j/0"), 7, Stale, true, 0},
-		{"a higher token deposes the owner", newReport(2, 2, 9), 7, Deposed, true, 0},
-		{"in a new term of the owner, an earlier token proves nothing", newReport(2, 3, 9, "j/2"), 11, Unproven, false, 0},
-		{"the new term's token makes the report current", newReport(2, 4, 11, "j/2"), 11, Current, true, 1},
+		{"an older token proves nothing", newHeartbeat(1, 5, 3, "j/0"), 7, Unproven, false, 0},
+		{"the owner's token makes the heartbeat current", newHeartbeat(1, 6, 7, "j/0", "j/1"), 7, Current, true, 2},
+		{"a late heartbeat changes nothing", newHeartbeat(1, 5, 7), 7, Stale, true, 2},
+		{"the same heartbeat again changes nothing", newHeartbeat(1, 6, 7), 7, Stale, true, 2},
+		{"a heartbeat of a new incarnation is used although its sequence number is lower", newHeartbeat(2, 1, 7), 7, Current, true, 0},
+		{"a heartbeat of an earlier incarnation is not used", newHeartbeat(1, 99, 7, "j/0"), 7, Stale, true, 0},
+		{"a higher token deposes the owner", newHeartbeat(2, 2, 9), 7, Deposed, true, 0},
+		{"in a new term of the owner, an earlier token proves nothing", newHeartbeat(2, 3, 9, "j/2"), 11, Unproven, false, 0},
+		{"the new term's token makes the heartbeat current", newHeartbeat(2, 4, 11, "j/2"), 11, Current, true, 1},
 	}
 	for _, step := range steps {
-		m, verdict := p.Receive(time.Second, step.report, step.term, 0)
+		m, verdict := p.Receive(time.Second, step.heartbeat, step.term, 0)
 		if verdict != step.want || m.Adopted != step.adopted || len(m.Tasks) != step.tasks {
 			t.Errorf("%s: verdict %v, adopted %v, %d tasks", step.name, verdict, m.Adopted, len(m.Tasks))
 		}
@@ -45,11 +45,11 @@
 }
 
 // TestLeaseEndsNoSoonerThanOnWorker checks that the pool does not take a lease as ended while the
-// worker may still hold it. The worker counts the lease from when it sent the report, on a clock that
+// worker may still hold it. The worker counts the lease from when it sent the heartbeat, on a clock that
 // may be slower by the allowed drift.
 func TestLeaseEndsNoSoonerThanOnWorker(t *testing.T) {
 	p := New(14, 1.5)
-	m, _ := p.Receive(10*time.Second, newReport(1, 1, 7), 7, 0)
+	m, _ := p.Receive(10*time.Second, newHeartbeat(1, 1, 7), 7, 0)
 	if p.Expired(m, 10*time.Second+14*time.Second+7*time.Millisecond) {
 		t.Error("the lease has ended although the worker may still run its tasks")
 	}
@@ -57,13 +57,13 @@
 		t.Error("the lease has not ended after 15 s")
 	}
 	if !m.Usable(12*time.Second, p.HeartbeatInterval) || m.Usable(15*time.Second, p.HeartbeatInterval) {
-		t.Error("the machine must be usable while it reports, and not when it has been silent for three report intervals")
+		t.Error("the machine must be usable while its heartbeats arrive, and not when it has been silent for three heartbeat intervals")
 	}
 }
 
 func TestRecallDrainsMachine(t *testing.T) {
 	p := New(14, 1.5)
-	recalled := newReport(1, 1, 7)
+	recalled := newHeartbeat(1, 1, 7)
 	recallS := 12.0
 	recalled.RecallS = &recallS
 	m, _ := p.Receive(10*time.Second, recalled, 7, 0)
