--- a/internal/allocation/allocation.go
+++ b/internal/allocation/allocation.go
@@ -1,5 +1,5 @@
-// Package allocation implements the online algorithm of UDRF (paper, III-C): as long as
-// any unit fits on a machine, it starts a unit of the team with the lowest dominant share.
+// Package allocation implements the online algorithm of UDRF (section III-C of the UDRF paper): as
+// long as any unit fits on a machine, it starts a unit of the team with the lowest dominant share.
 // It has no state of its own: the same input always gives the same placements.
 package allocation
 
@@ -133,8 +133,8 @@
 	return 0
 }
 
-// DominantShare returns a team's dominant share: the largest booked fraction of any
-// resource of any class (paper, equation 12, with booked amounts for x*d).
+// DominantShare returns a team's dominant share: the largest booked fraction of any resource of any
+// class (equation 12 of the UDRF paper, with booked amounts for x*d).
 func DominantShare(booked, capacity map[string]Resources) float64 {
 	share := 0.0
 	include := func(amount, available float64) {
--- a/internal/allocation/placement.go
+++ b/internal/allocation/placement.go
@@ -111,9 +111,9 @@
 	return nil
 }
 
-// pickMachine returns the machine of the highest rank on which a task of the unit fits, or
-// nil. Among machines of equal rank it returns the one with the fewest free CPUs, so that the
-// other machines become idle and can be returned, and among those the first in the list.
+// pickMachine returns the machine of the highest rank on which a task of the unit fits, or nil.
+// Among machines of equal rank it returns the machine with the fewest free CPUs, so that the other
+// machines become idle and can be returned to the cloud, and among those the first in the list.
 func pickMachine(u *Unit, machines []*Machine, largest map[string]Resources) *Machine {
 	var best *Machine
 	bestRank := -1
--- a/internal/allocation/resources.go
+++ b/internal/allocation/resources.go
@@ -8,7 +8,7 @@
 // epsilon is the tolerance for rounding errors in sums of resources.
 const epsilon = 1e-6
 
-// Fits reports whether a is available in b.
+// Fits reports whether a is at most b in every resource, apart from rounding errors.
 func (a Resources) Fits(b Resources) bool {
 	return a.CPUs <= b.CPUs+epsilon && a.GPUs <= b.GPUs+epsilon && a.Memory <= b.Memory+epsilon
 }
@@ -18,8 +18,8 @@
 	return Resources{a.CPUs + n*b.CPUs, a.GPUs + n*b.GPUs, a.Memory + n*b.Memory}
 }
 
-// fractionIn returns the fraction of a that is available in b, for the resource for which this
-// fraction is smallest.
+// fractionIn returns the largest fraction of a that fits in b. It is more than 1 if b has room for
+// more than a.
 func (a Resources) fractionIn(b Resources) float64 {
 	fraction := math.Inf(1)
 	for _, amounts := range [][2]float64{{a.CPUs, b.CPUs}, {a.GPUs, b.GPUs}, {a.Memory, b.Memory}} {
@@ -30,7 +30,7 @@
 	return fraction
 }
 
-// CountIn returns how many times a is available in b, at most 1<<20.
+// CountIn returns how many times a fits in b, at most 1<<20.
 func (a Resources) CountIn(b Resources) int {
 	count := math.Inf(1)
 	limitBy := func(needed, available float64) {
--- a/internal/authority/renewal.go
+++ b/internal/authority/renewal.go
@@ -75,7 +75,7 @@
 	NoLongerOwner    Reason = "the right to answer workers is over"
 )
 
-// Decision is the outcome for one renewal.
+// Decision states whether the lease of a worker is renewed, and under which conditions.
 type Decision struct {
 	Renew bool
 	// FenceFirst reports that the renewal is allowed only once the worker has seen this owner's
--- a/internal/controller/assignments.go
+++ b/internal/controller/assignments.go
@@ -18,11 +18,11 @@
 // updated incrementally, because recomputing it for every heartbeat would use most of an owner's
 // CPU time.
 type machineLoad struct {
-	class   string
-	tasks   map[string]taskRef // by task ID
-	used    allocation.Resources
-	planned int // number of tasks not yet sent to the worker
-	view    allocation.Machine
+	class        string
+	tasks        map[string]taskRef // by task ID
+	used         allocation.Resources
+	plannedCount int // number of tasks not yet sent to the worker
+	view         allocation.Machine
 }
 
 // teamUsage is the number of tasks that a team has placed on a class, and their resources.
@@ -65,7 +65,7 @@
 	}
 	if old, ok := job.Assigned[task]; ok {
 		if old.State == jobs.Planned {
-			load.planned--
+			load.plannedCount--
 		}
 	} else {
 		load.tasks[id] = taskRef{job, task}
@@ -73,7 +73,7 @@
 		c.accountUsage(job, load.class, 1)
 	}
 	if assignment.State == jobs.Planned {
-		load.planned++
+		load.plannedCount++
 	}
 	job.Assign(task, assignment)
 }
@@ -95,7 +95,7 @@
 	}
 	delete(load.tasks, jobs.TaskID(job.ID, task))
 	if assignment.State == jobs.Planned {
-		load.planned--
+		load.plannedCount--
 	}
 	load.used = load.used.Add(taskResources(job), -1)
 	if len(load.tasks) == 0 {
@@ -143,7 +143,7 @@
 // plannedTaskIDs returns the IDs of the tasks that are planned for a machine but not yet sent to
 // its worker, in sorted order.
 func (l *machineLoad) plannedTaskIDs() []string {
-	if l == nil || l.planned == 0 {
+	if l == nil || l.plannedCount == 0 {
 		return nil
 	}
 	var ids []string
--- a/internal/controller/cancelled_tasks_test.go
+++ b/internal/controller/cancelled_tasks_test.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// TestCancelledTasksEndWhileLeadersChange guards against a cancelled task that keeps running because
+// TestCancelledTasksEndWhileLeadersChange checks that no cancelled task keeps running because
 // successive owners renew the lease of its machine without a stop command.
 func TestCancelledTasksEndWhileLeadersChange(t *testing.T) {
 	for seed := *leaderChangeFirstSeed; seed < *leaderChangeFirstSeed+*leaderChangeSeedCount; seed++ {
@@ -222,11 +222,11 @@
 	})
 }
 
-// TestEarlierOwnersOrdersCannotStartCancelledTasks guards against the renewal of a machine's lease
+// TestEarlierOwnersOrdersCannotStartCancelledTasks checks that a machine's lease is not renewed
 // long after a cancellation was confirmed to its user, while the machine has not yet received this
-// owner's fencing token. Until it does, an order of the previous owner, of which this owner has no
-// record, may start a task of the cancelled job there, and the renewed lease would outlast the time
-// allowed for the cancellation.
+// owner's fencing token. Until the machine has the token, an order of the previous owner, of which
+// this owner has no record, may start a task of the cancelled job there, and the renewed lease
+// would outlast the time allowed for the cancellation.
 func TestEarlierOwnersOrdersCannotStartCancelledTasks(t *testing.T) {
 	o := newSteppedOwner(t)
 	o.cancelJobOfPreviousOwner()
--- a/internal/controller/concurrent_failures_test.go
+++ b/internal/controller/concurrent_failures_test.go
@@ -208,7 +208,7 @@
 	return func(sim *simulation) { sim.injectFault = injectFault }
 }
 
-// Each of these functions disables one guard in the cores.
+// The functions below each disable one guard in the cores.
 var (
 	skipTakeoverWait = withCoreFault(func(c *Core) {
 		for _, j := range c.jobs.Open {
--- a/internal/controller/connection_limit_test.go
+++ b/internal/controller/connection_limit_test.go
@@ -49,10 +49,10 @@
 	return stop
 }
 
-// TestThousandsOfKeepAliveConnections opens connections of workers, which stay open between heartbeats.
-// Within the socket limit the server must answer each one, with few threads and little memory per
-// connection. Beyond the limit it must close new connections at once and go on serving the open ones.
-// Far below the limit it must close none.
+// TestThousandsOfKeepAliveConnections opens connections of workers, which stay open between
+// heartbeats. Within the socket limit the server must answer every connection, with few threads and
+// little memory per connection. Beyond the limit it must close new connections at once and go on
+// serving the open connections. Far below the limit it must close none.
 func TestThousandsOfKeepAliveConnections(t *testing.T) {
 	const attempts, limit = 2400, 2000
 	connect := func(maxSockets int) (kept, closed int) {
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -67,7 +67,7 @@
 	lastDirectCallID uint64
 	probesInFlight   int // direct calls in flight that launch nothing, fences excluded
 	// fencesInFlight counts the direct calls in flight that only show a worker this owner's fencing
-	// token. fenceRepeats counts the repeated fences among them.
+	// token. fenceRepeats counts the repeats among these calls.
 	fencesInFlight, fenceRepeats int
 	plannedMachines              []string // machines with planned launches that are not sent yet
 	// jobOrder caches the scheduling order of the jobs.
@@ -85,7 +85,7 @@
 	nextUsageLog       time.Duration
 	storeReplyTimes    replyTimes
 	renewalRules       authority.RenewalPolicy
-	renewals           renewalCounts
+	renewalCounts      renewalCounts
 	// heldHeartbeats maps each machine to its heartbeat whose answer waits until the worker has
 	// seen this owner's fencing token. fenceQueue lists the machines that wait for their first
 	// fence.
@@ -93,7 +93,7 @@
 	fenceQueue       []string
 	nextKnowledgeLog time.Duration
 	loggedFullReads  int               // full reads of the records that were logged
-	links            *linkMonitor      // nil if link monitoring is switched off
+	linkMonitor      *linkMonitor      // nil if link monitoring is switched off
 	sentCounts       map[string][2]int // job -> tasks done and running, as last sent to peers
 	// pendingCancelNotices maps each owner to the cancelled jobs whose notice it has not
 	// acknowledged.
@@ -162,7 +162,7 @@
 	c.machineTable = statestore.NewRecordTable(c.store, keyMachines, c.ownership.Guard, c.applyMachineRecord)
 	c.pool = workers.New(cluster.Workers.LeaseS, cluster.Workers.HeartbeatS)
 	c.fleet = fleet.New(cluster.Cloud.RPS, cluster.Cloud.ListLagS, rentalPrefix(settings.Label, incarnation), c.log)
-	c.links = newLinkMonitor(settings.Label, incarnation, operator.Reachability, now.Steady)
+	c.linkMonitor = newLinkMonitor(settings.Label, incarnation, operator.Reachability, now.Steady)
 	c.fleet.OnDeleted = c.handleMachineDeleted
 	c.fleet.HeartbeatTimeout = c.pool.MaxSilence()
 	c.fleet.TakeoverTimeout = c.pool.HeartbeatInterval*5/4 + limits.TakeoverSlack
@@ -186,7 +186,7 @@
 	c.jobs.SetCancellationsKnownThrough(c.ownership.CancellationsKnownThrough())
 	c.ownership.Advance(steady)
 	c.store.Advance(steady)
-	c.links.recordInput(input, steady)
+	c.linkMonitor.recordInput(input, steady)
 	switch event := input.(type) {
 	case Submit:
 		c.submit(event)
@@ -222,12 +222,12 @@
 }
 
 // resumeAfterPause restarts the timers for silence and planning when the process resumes at now
-// after a pause. Messages that arrived during the pause are still unread, so the silence of
-// workers and peers proves nothing yet. Without this, a resumed node would at once return machines
-// and hand over its classes.
+// after a pause. Messages that arrived during the pause are still unread, so the silence of workers
+// and peers proves nothing yet. Without this function, a resumed node would at once return machines
+// to the cloud and hand over its classes.
 func (c *Core) resumeAfterPause(now time.Duration) {
 	c.log(slog.LevelInfo, "stood still", "for", now-c.now.Steady)
-	c.links.recordPause(now - c.now.Steady)
+	c.linkMonitor.recordPause(now - c.now.Steady)
 	c.lastArrival, c.lastHeartbeat = now, now
 	c.heartbeatsResumedAt, c.lastMachineJoined = now, now
 	c.nextMachineCheck, c.nextFleetPlan = now+limits.MachineCheckInterval, now+limits.FleetPlanInterval
@@ -237,13 +237,13 @@
 func (c *Core) takeOutputs() []Output {
 	out := c.outputs
 	c.outputs = nil
-	c.links.recordOutputs(out, c.now.Steady)
+	c.linkMonitor.recordOutputs(out, c.now.Steady)
 	return out
 }
 
 // answerLinksQuery answers an operator's query for the state of the links.
 func (c *Core) answerLinksQuery(query LinksQuery) {
-	if reply, enabled := c.links.linksReply(c.now.Steady); enabled {
+	if reply, enabled := c.linkMonitor.linksReply(c.now.Steady); enabled {
 		c.outputs = append(c.outputs, Answer{Ref: query.Ref, Status: 200, Body: reply})
 		return
 	}
@@ -266,7 +266,7 @@
 	}
 	c.applyClaims()
 	c.updateHeldHeartbeats()
-	c.manageMachines()
+	c.retireUnusableMachines()
 	c.updateActiveJobs()
 	c.updateGangs()
 	mayLaunch := c.ownership.MayLaunch()
--- a/internal/controller/core_fault_test.go
+++ b/internal/controller/core_fault_test.go
@@ -12,9 +12,10 @@
 	"umberpaddle/internal/config"
 )
 
-// TestRepliesToAnEarlierCoreAreDropped guards against a controller that acts on stale records after
-// its core is replaced because of a fault. The new core numbers its calls from the start again, so a
-// late reply to a call of the earlier core can be mistaken for the reply to a call of the new one.
+// TestRepliesToAnEarlierCoreAreDropped checks that a controller does not act on stale records after
+// its core is replaced because of a fault. The new core numbers its calls from the start again, so
+// a late reply to a call of the earlier core can be mistaken for the reply to a call of the new
+// core.
 func TestRepliesToAnEarlierCoreAreDropped(t *testing.T) {
 	t.Parallel()
 	pendingReads := make(chan chan struct{}, 8) // for each read of the records, a channel that releases its reply
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -62,8 +62,8 @@
 				booked[placed.job.Team][load.class] = booked[placed.job.Team][load.class].Add(taskResources(placed.job), 1)
 			}
 		}
-		if len(load.tasks) != taskCount[id] || planned != load.planned || !equal(load.used, used[id]) {
-			return fmt.Errorf("%s: %d tasks, %d planned, %v used; want %d, %d, %v", id, len(load.tasks), load.planned, load.used, taskCount[id], planned, used[id])
+		if len(load.tasks) != taskCount[id] || planned != load.plannedCount || !equal(load.used, used[id]) {
+			return fmt.Errorf("%s: %d tasks, %d planned, %v used; want %d, %d, %v", id, len(load.tasks), load.plannedCount, load.used, taskCount[id], planned, used[id])
 		}
 	}
 	for team, byClass := range c.booked {
@@ -84,8 +84,8 @@
 }
 
 // TestEndedAttemptDoesNotHideALostLaunch checks that an ended attempt that is not cleared yet is
-// not taken for a later attempt whose launch was lost. If it were, the task would never be
-// launched again.
+// not mistaken for a later attempt whose launch was lost. Such a mistake would mean that the task
+// is never launched again.
 func TestEndedAttemptDoesNotHideALostLaunch(t *testing.T) {
 	core := newTestCore(t)
 	spec := &wire.Job{ID: "job-1", Team: "red", Tasks: 1, CPUs: 1, Types: []string{"small"}}
@@ -156,9 +156,9 @@
 	}
 }
 
-// TestFaultyMachineIsReturnedAtOnce checks that a machine that fails every task is returned
-// within 4 s of being marked as faulty. If the machine were kept while it has tasks, a new owner
-// would have to detect the fault again after a takeover.
+// TestFaultyMachineIsReturnedAtOnce checks that a machine that fails every task is returned to the
+// cloud within 4 s of being marked as faulty. If the machine were kept while it has tasks, a new
+// owner would have to detect the fault again after a takeover.
 func TestFaultyMachineIsReturnedAtOnce(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		sim := newSimulation(seed, standardConfig())
--- a/internal/controller/deposed_owner_test.go
+++ b/internal/controller/deposed_owner_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// TestRestartedSuccessorDoesNotExtendDeposedOwner guards against a deposed owner that acts again
-// because peers that have not read the current records grant it extensions. An owner loses the state
-// service and its peers, and a successor takes over while the process of the third controller is
-// paused. Then the state service fails for all controllers, the successor crashes and restarts at once,
-// and the deposed owner reaches its peers again. The class now belongs to the successor under a later
-// term, and tasks that the successor launched may be running.
+// TestRestartedSuccessorDoesNotExtendDeposedOwner checks that a deposed owner does not act again
+// because peers that have not read the current records grant it extensions. An owner loses the
+// state service and its peers, and a successor takes over while the process of the third controller
+// is paused. Then the state service fails for all controllers, the successor crashes and restarts
+// at once, and the deposed owner reaches its peers again. The class now belongs to the successor
+// under a later term, and tasks that the successor launched may be running.
 func TestRestartedSuccessorDoesNotExtendDeposedOwner(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
 		sim := newSimulation(seed, singleTypeConfig())
--- a/internal/controller/direct.go
+++ b/internal/controller/direct.go
@@ -66,7 +66,7 @@
 // mayOrderDirectly reports whether the launches planned for a machine may be sent in a direct
 // order.
 func (c *Core) mayOrderDirectly(machine *workers.Machine, load *machineLoad) bool {
-	if machine == nil || load == nil || load.planned == 0 || machine.DirectInFlight || machine.Address == "" {
+	if machine == nil || load == nil || load.plannedCount == 0 || machine.DirectInFlight || machine.Address == "" {
 		return false
 	}
 	silence := c.now.Steady - machine.LastHeartbeat
@@ -128,7 +128,7 @@
 	c.answerHeldHeartbeat(call.machine)
 	// Launches planned while the order was in flight are sent at once, but only if the worker
 	// answered 200. Otherwise a worker that refuses connections would be called without any pause.
-	if load := c.loads[call.machine]; reply.Status == 200 && load != nil && load.planned > 0 {
+	if load := c.loads[call.machine]; reply.Status == 200 && load != nil && load.plannedCount > 0 {
 		c.plannedMachines = append(c.plannedMachines, call.machine)
 	}
 	if c.ownership.MayLaunch() {
@@ -188,7 +188,7 @@
 // probeSilentMachines sends a direct order without commands to machines whose heartbeat is late;
 // the answer lists the machine's tasks. The worker of such a machine may be waiting for another
 // node that doesn't answer, or searching for this node. Without the probes, after a controller
-// process was paused, healthy machines are returned and jobs wait for them.
+// process was paused, healthy machines are returned to the cloud and jobs wait for these machines.
 func (c *Core) probeSilentMachines() {
 	now := c.now.Steady
 	if !c.ownership.MayLaunch() {
--- a/internal/controller/direct_launches_test.go
+++ b/internal/controller/direct_launches_test.go
@@ -8,10 +8,10 @@
 	"umberpaddle/internal/limits"
 )
 
-// TestLaunchesBeyondTheLimitAreSentInTurn starts a job on up to three times as many machines as
-// may receive direct orders concurrently. Nearly all tasks must be on their machines within 5 s,
-// and the limit on concurrent direct orders must be reached but never exceeded. This guards against
-// launches beyond the limit that wait for the machines' next heartbeats, seconds later.
+// TestLaunchesBeyondTheLimitAreSentInTurn starts a job on up to three times as many machines as may
+// receive direct orders concurrently. Nearly all tasks must be on their machines within 5 s, and
+// the limit on concurrent direct orders must be reached but never exceeded. Otherwise launches
+// beyond the limit would wait for the machines' next heartbeats, seconds later.
 func TestLaunchesBeyondTheLimitAreSentInTurn(t *testing.T) {
 	const machines = 3 * limits.MaxDirectOrdersInFlight
 	cfg := standardConfig()
--- a/internal/controller/earlier_orders_test.go
+++ b/internal/controller/earlier_orders_test.go
@@ -409,7 +409,7 @@
 		}
 	}
 	if owner := sim.owner(); owner != nil {
-		counts = owner.core.renewals
+		counts = owner.core.renewalCounts
 	}
 	return sim, incarnationsEnded, counts
 }
@@ -435,11 +435,11 @@
 	}
 }
 
-// TestDelayedOrdersBreakNoRule simulates random faults while half of all direct orders are
-// delayed by up to four leases. Owners crash, are paused, are cut off from the state service and
-// their peers, and hand over because no worker can reach them. Meanwhile tasks are rescheduled,
-// gangs receive only part of their orders, completed tasks are cleared, machines are returned,
-// borrowed capacity is preempted, and one team stays at its limit.
+// TestDelayedOrdersBreakNoRule simulates random faults while half of all direct orders are delayed
+// by up to four leases. Owners crash, are paused, are cut off from the state service and their
+// peers, and hand over because no worker can reach them. Meanwhile tasks are rescheduled, gangs
+// receive only part of their orders, completed tasks are cleared, machines are returned to the
+// cloud, borrowed capacity is preempted, and one team stays at its limit.
 func TestDelayedOrdersBreakNoRule(t *testing.T) {
 	for seed := *heldOrderFirstSeed; seed < *heldOrderFirstSeed+*heldOrderSeedCount/2; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/controller/fault_injection_test.go
+++ b/internal/controller/fault_injection_test.go
@@ -30,8 +30,8 @@
 // machineIDPattern matches a machine ID in a log line.
 var machineIDPattern = regexp.MustCompile(`i-\d+`)
 
-// countReturnedMachines returns a counter of the booted machines that are returned from now on
-// although they are not idle.
+// countReturnedMachines returns a counter of the booted machines that are returned to the cloud
+// from now on although they are not idle.
 func (sim *simulation) countReturnedMachines() *int {
 	count := new(int)
 	sim.trace = func(format string, args ...any) {
@@ -43,10 +43,11 @@
 	return count
 }
 
-// TestUnreachableNewOwnerReturnsNoMachines cuts the owner and one successor off from the workers. No
-// machine may be returned, and the classes must move to a node that workers reach. A new owner that
-// did not check whether workers reach it took the whole fleet for machines that had failed to boot and
-// returned it, twice. A core that assumes that workers reach it must fail the test.
+// TestUnreachableNewOwnerReturnsNoMachines cuts the owner and one successor off from the workers.
+// No machine may be returned to the cloud, and the classes must move to a node that workers reach.
+// A new owner that did not check whether workers reach it took the whole fleet for machines that
+// had failed to boot and returned it, twice. A core that assumes that workers reach it must fail
+// the test.
 func TestUnreachableNewOwnerReturnsNoMachines(t *testing.T) {
 	simulate := func(cfg simConfig, seed uint64, injectFault func(*Core)) (sim *simulation, returnedCount int) {
 		sim = newSimulation(seed, cfg)
@@ -154,10 +155,10 @@
 	}
 }
 
-// TestOwnerPausesReturnNoMachines pauses the owner's process several times, for less and for more than
-// its lease. Messages prepared before a pause leave only after it. Neither the paused owner nor its
-// successor may return a machine because of that, and no class may be handed over because no heartbeat
-// was read during a pause.
+// TestOwnerPausesReturnNoMachines pauses the owner's process several times, for less and for more
+// than its lease. Messages prepared before a pause are sent only after it. These pauses must not
+// make the owner or its successor return a machine to the cloud, and no class may be handed over
+// because no heartbeat was read during a pause.
 func TestOwnerPausesReturnNoMachines(t *testing.T) {
 	simulate := func(cfg simConfig, seed uint64) (sim *simulation, returnedCount, handovers int) {
 		sim = newSimulation(seed, cfg)
@@ -213,9 +214,10 @@
 	})
 }
 
-// TestOwnerReadsWaitingHeartbeatsAfterPause hangs a machine, which resumes while the owner's process is
-// paused. The owner must not return the machine as silent, since the machine's heartbeats wait to be
-// read. A core that does not detect its own pause must fail the test.
+// TestOwnerReadsWaitingHeartbeatsAfterPause pauses the owner's process while a machine hangs. The
+// machine resumes during the pause, so its heartbeats are waiting to be read when the owner
+// resumes. The owner must read them before it decides that the machine is silent, and must not
+// return the machine to the cloud. A core that does not detect its own pause must fail the test.
 func TestOwnerReadsWaitingHeartbeatsAfterPause(t *testing.T) {
 	simulate := func(cfg simConfig, seed uint64, ignorePause bool) (sim *simulation, m *simMachine) {
 		sim = newSimulation(seed, cfg)
@@ -281,9 +283,9 @@
 	}
 }
 
-// TestFailedAndSlowBoots lets most new machines fail to boot and the others boot late, for 70 s. The
-// owner must rent replacements, but at most 70 machines in total, return machines that haven't booted
-// after 32 s, and finish all work.
+// TestFailedAndSlowBoots lets most new machines fail to boot and the others boot late, for 70 s.
+// The owner must rent replacements, but at most 70 machines in total, must return machines that
+// haven't booted after 32 s to the cloud, and must finish all work.
 func TestFailedAndSlowBoots(t *testing.T) {
 	forEachClusterSize(t, 3, func(t *testing.T, cfg simConfig, seed uint64) {
 		sim := newSimulation(seed, cfg)
--- a/internal/controller/fences.go
+++ b/internal/controller/fences.go
@@ -32,7 +32,7 @@
 	if earlier := c.heldHeartbeats[machine.ID]; earlier != nil {
 		c.refuseHeartbeat(earlier.request) // the worker has given up waiting for this answer
 	}
-	c.renewals.FenceHeld++
+	c.renewalCounts.FenceHeld++
 	c.log(slog.LevelDebug, "renewal waits for a fence", "machine", machine.ID, "session", machine.Incarnation, "term", machine.Term, "token", request.Heartbeat.FencingToken, "job", decision.CauseJob)
 	c.heldHeartbeats[machine.ID] = &heldHeartbeat{request: request, deadline: c.now.Steady + limits.FenceWait}
 	c.fenceQueue = append(c.fenceQueue, machine.ID)
@@ -61,7 +61,7 @@
 	call := &directCall{machine: machine.ID, incarnation: held.request.Heartbeat.Incarnation, term: machine.Term, fence: true, repeat: held.fencesSent > 0}
 	held.nextFence = c.now.Steady + limits.FenceRepeatDelay<<held.fencesSent
 	held.fencesSent++
-	c.renewals.FenceOrders++
+	c.renewalCounts.FenceOrders++
 	c.fencesInFlight++
 	if call.repeat {
 		c.fenceRepeats++
@@ -98,12 +98,12 @@
 		return
 	}
 	delete(c.heldHeartbeats, machineID)
-	c.renewals.Fenced++
-	c.renew(held.request, machine, workers.Overtaken)
+	c.renewalCounts.Fenced++
+	c.renewOrRefuse(held.request, machine, workers.Overtaken)
 }
 
-// isFenced reports whether the worker incarnation that sent the held heartbeat has seen this
-// owner's fencing token. If it has, the machine's task list is complete.
+// isFenced reports whether the worker has seen this owner's fencing token in the same incarnation
+// that sent the held heartbeat. For a fenced worker, the machine's task list is complete.
 func (c *Core) isFenced(machine *workers.Machine, held *heldHeartbeat) bool {
 	term, owned := c.activeTerms[machine.Class]
 	return owned && c.ownership.MayAnswer() && machine.Term == term && machine.Adopted && machine.Incarnation == held.request.Heartbeat.Incarnation
@@ -135,7 +135,7 @@
 		return
 	}
 	delete(c.heldHeartbeats, machineID)
-	c.renewals.NotFenced++
+	c.renewalCounts.NotFenced++
 	if machine := c.pool.Machines[machineID]; machine != nil {
 		machine.NotFenced = true
 	}
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -11,7 +11,7 @@
 	"umberpaddle/internal/workers"
 )
 
-// handleHeartbeat processes a worker's heartbeat and answers it, unless renew holds the answer for
+// handleHeartbeat processes a worker's heartbeat and answers it, unless renewOrRefuse holds the answer for
 // a fence.
 func (c *Core) handleHeartbeat(request HeartbeatRequest) {
 	heartbeat := request.Heartbeat
@@ -32,7 +32,7 @@
 		c.refuseHeartbeat(request)
 		return
 	}
-	c.renew(request, machine, verdict)
+	c.renewOrRefuse(request, machine, verdict)
 }
 
 // refuseHeartbeat answers a heartbeat with 503. The machine's lease is not renewed, and the worker
@@ -67,7 +67,7 @@
 		c.jobsChanged, c.fleetChanged = true, true
 	}
 	c.recordHeartbeatTime(machine, alreadyReported)
-	c.links.recordWorkerHeartbeat(heartbeat.Type, heartbeat.Zone, c.pool.HeartbeatInterval, c.now.Steady)
+	c.linkMonitor.recordWorkerHeartbeat(heartbeat.Type, heartbeat.Zone, c.pool.HeartbeatInterval, c.now.Steady)
 	if machine.RecallAt != 0 && !wasRecalled && machine.Spot {
 		c.fleet.RecordSpotLoss()
 	}
--- a/internal/controller/hot_paths_bench_test.go
+++ b/internal/controller/hot_paths_bench_test.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// BenchmarkReports measures the work of the core for a heartbeat of a busy machine.
-func BenchmarkReports(b *testing.B) {
+// BenchmarkHeartbeats measures the work of the core for a heartbeat of a busy machine.
+func BenchmarkHeartbeats(b *testing.B) {
 	forEachFleetSize(b, func(b *testing.B, o *busyOwner) {
 		for k := 0; k < b.N; k++ {
 			o.sendHeartbeat(k % len(o.seq))
@@ -98,9 +98,9 @@
 	})
 }
 
-// BenchmarkReportCodec measures the decoding of a heartbeat of a busy machine and the encoding of its
-// answer, which the HTTP edge does outside the core for each heartbeat.
-func BenchmarkReportCodec(b *testing.B) {
+// BenchmarkHeartbeatCodec measures the decoding of a heartbeat of a busy machine and the encoding
+// of its answer, which the HTTP edge does outside the core for each heartbeat.
+func BenchmarkHeartbeatCodec(b *testing.B) {
 	forEachFleetSize(b, func(b *testing.B, o *busyOwner) {
 		bodies := make([][]byte, len(o.seq))
 		answers := make([]any, len(o.seq))
@@ -166,11 +166,12 @@
 	})
 }
 
-// BenchmarkReportsOverHTTP sends heartbeats over keep-alive connections to a controller that owns no class,
-// as after a restart. It measures the work of the HTTP edge for a heartbeat, the decoding, and the answer
-// of the core, which refuses the heartbeat with 503. The clients run in this process too, so read the share of the
-// server from a CPU profile (-cpuprofile), not from ns/op alone.
-func BenchmarkReportsOverHTTP(b *testing.B) {
+// BenchmarkHeartbeatsOverHTTP sends heartbeats over keep-alive connections to a controller that
+// owns no class, as after a restart. It measures the work of the HTTP edge for a heartbeat, the
+// decoding, and the answer of the core, which refuses the heartbeat with 503. The clients run in
+// this process too, so read the share of the server from a CPU profile (-cpuprofile), not from
+// ns/op alone.
+func BenchmarkHeartbeatsOverHTTP(b *testing.B) {
 	const connections = 64
 	settings := isolatedSettings(b)
 	settings.Cluster.Resources.RAMMB, settings.Cluster.Resources.MaxSockets = 114, 1800
--- a/internal/controller/job_order.go
+++ b/internal/controller/job_order.go
@@ -77,10 +77,10 @@
 	return float64(job.Tasks-job.DoneCount) * max(job.EstimateS, 1) * max(job.CPUs, 1)
 }
 
-// startOverdue reports whether a job has waited so long for its first task that it is placed
+// isStartOverdue reports whether a job has waited so long for its first task that it is placed
 // before all other jobs of its team. Without this rule, large jobs starve: the other sort
 // criteria put a large job last for as long as new jobs arrive.
-func (c *Core) startOverdue(job *jobs.Job) bool {
+func (c *Core) isStartOverdue(job *jobs.Job) bool {
 	return !job.Started && !job.Cancelled && !job.Faulty() && c.age(job.SubmitUnix) > limits.StartOverdueAfter
 }
 
@@ -112,8 +112,8 @@
 }
 
 // rankJobs computes the sort criteria of the active jobs. When there is far more work than
-// capacity, sorting by least slack would make one job after the other late. In that case, jobs
-// that can still meet a target are also sorted by least remaining work.
+// capacity, sorting by least slack would make one job after the other late, so jobs that can still
+// meet a target are then also sorted by least remaining work.
 func (c *Core) rankJobs() []rankedJob {
 	var ranked []rankedJob
 	demandCPUSeconds := 0.0
@@ -122,7 +122,7 @@
 			continue
 		}
 		secondsLeft, canMeetTarget := c.timeLeft(job)
-		ranked = append(ranked, rankedJob{job, c.startOverdue(job), canMeetTarget, secondsLeft - job.EstimateS})
+		ranked = append(ranked, rankedJob{job, c.isStartOverdue(job), canMeetTarget, secondsLeft - job.EstimateS})
 		if canMeetTarget {
 			demandCPUSeconds += remainingWork(job)
 		}
--- a/internal/controller/knowledge_log.go
+++ b/internal/controller/knowledge_log.go
@@ -60,5 +60,5 @@
 	c.log(slog.LevelDebug, "knowledge", "leader", c.ownership.Leader(), "terms", c.ownership.Terms(), "leaseValid", c.ownership.LeaseValid(),
 		"revision", mirror.Revision, "mirrorAgeS", (c.now.Steady - mirror.KnownThrough).Seconds(), "cancellationsKnownS", c.cancellationsAge().Seconds(),
 		"replies", summary.replies, "slow", summary.slow, "longestS", summary.longest.Seconds(), "withheldAnswers", c.jobs.WithheldAnswers,
-		"renewals", c.renewals)
+		"renewals", c.renewalCounts)
 }
--- a/internal/controller/links.go
+++ b/internal/controller/links.go
@@ -191,10 +191,11 @@
 	l.monitor.Received(link, now)
 }
 
-// suspendUnusedWorkerLinks stops expecting heartbeats from a class and zone in which this controller no
-// longer has machines, because it does not own the class or has returned all of the machines.
+// suspendUnusedWorkerLinks stops expecting heartbeats from a class and zone in which this
+// controller no longer has machines, because it does not own the class or has returned all of the
+// machines to the cloud.
 func (c *Core) suspendUnusedWorkerLinks() {
-	links := c.links
+	links := c.linkMonitor
 	if links == nil || c.now.Steady < links.nextWorkerCheck {
 		return
 	}
--- a/internal/controller/links_bench_test.go
+++ b/internal/controller/links_bench_test.go
@@ -84,7 +84,7 @@
 				randomJobs(sim, 80, 250*second)
 				sim.run(300 * second)
 				for _, n := range sim.nodes {
-					for _, status := range n.core.links.monitor.View("", 0).Links {
+					for _, status := range n.core.linkMonitor.monitor.View("", 0).Links {
 						failures += status.Changes
 						hours += 300.0 / 3600
 					}
--- a/internal/controller/links_test.go
+++ b/internal/controller/links_test.go
@@ -23,7 +23,7 @@
 // controller determines them.
 func (n *simNode) lossExtents() (state, workers reachability.LossExtent) {
 	now := n.core.now.Steady
-	return n.core.links.views.Loss(reachability.StateDependency, now), n.core.links.views.Loss(reachability.WorkersDependency, now)
+	return n.core.linkMonitor.views.Loss(reachability.StateDependency, now), n.core.linkMonitor.views.Loss(reachability.WorkersDependency, now)
 }
 
 // TestLinkMonitorClassifiesLoss cuts the owner off from the state service or from the workers, and
@@ -56,7 +56,7 @@
 					return state == test.state && workers == test.workers
 				}) == 0 {
 					state, workers := owner.lossExtents()
-					t.Errorf("seed %d: state service %s, workers %s; want %s, %s: %+v", seed, state, workers, test.state, test.workers, owner.core.links.monitor.View("", 0).Links)
+					t.Errorf("seed %d: state service %s, workers %s; want %s, %s: %+v", seed, state, workers, test.state, test.workers, owner.core.linkMonitor.monitor.View("", 0).Links)
 				}
 				test.setCut(sim, owner, false)
 				sim.store.notifyWatches()
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -11,9 +11,9 @@
 	"umberpaddle/internal/workers"
 )
 
-// manageMachines marks machines whose lease has expired as lost, and returns machines that are
-// silent, recalled, faulty or drained.
-func (c *Core) manageMachines() {
+// retireUnusableMachines marks the machines whose lease has expired and unassigns their tasks. It
+// returns to the cloud the machines that are silent, recalled, faulty or drained.
+func (c *Core) retireUnusableMachines() {
 	now := c.now.Steady
 	if len(c.activeTerms) == 0 || now < c.nextMachineCheck {
 		return
@@ -30,7 +30,7 @@
 			machine.LeaseExpired = true
 			machine.Adopted = false
 			if machine.NotFenced {
-				c.renewals.FenceLeases++
+				c.renewalCounts.FenceLeases++
 			}
 			c.log(slog.LevelInfo, "machine's lease is over", "machine", machine.ID, "tasks", c.tasksOn(machine.ID), "notFenced", machine.NotFenced)
 			c.unassignMachine(machine.ID)
@@ -40,7 +40,7 @@
 		}
 		// The tasks planned for a machine that is no longer usable are unassigned: their launches
 		// were not sent.
-		if load := c.loads[machine.ID]; load != nil && load.planned > 0 && !machine.Usable(now, c.pool.HeartbeatInterval) {
+		if load := c.loads[machine.ID]; load != nil && load.plannedCount > 0 && !machine.Usable(now, c.pool.HeartbeatInterval) {
 			for _, taskID := range load.plannedTaskIDs() {
 				c.unassign(load.tasks[taskID].job, load.tasks[taskID].task)
 			}
@@ -48,7 +48,7 @@
 	}
 }
 
-// returnIfUnusable returns a machine that is silent, recalled, faulty or drained.
+// returnIfUnusable returns a machine to the cloud if it is silent, recalled, faulty or drained.
 func (c *Core) returnIfUnusable(machine *workers.Machine, mayWait, presumedDead bool) {
 	now := c.now.Steady
 	switch {
@@ -60,15 +60,16 @@
 	case machine.RecallAt != 0 && now > machine.RecallAt+limits.RecallSlack && machine.LastHeartbeat < machine.RecallAt:
 		c.returnMachine(machine, fleet.ReturnRecalled)
 	case machine.Draining && machine.Adopted && (machine.Faulty || c.tasksOn(machine.ID) == 0) && !c.holdsUnstoredResults(machine):
-		// A faulty machine is returned together with its running tasks, which would fail as well.
+		// A faulty machine is returned to the cloud together with its running tasks, which would
+		// fail as well.
 		c.returnMachine(machine, fleet.ReturnDrained)
 	}
 }
 
-// mayWaitForSilent reports whether the return of a silent machine may be delayed during a mass
-// silence, which is for at most MassSilenceLeases leases. It may not be delayed after a takeover,
-// when the jobs that an earlier owner launched wait for the machine, nor while the cloud can supply
-// other machines of its kind, on which its tasks continue sooner.
+// mayWaitForSilent reports whether a silent machine may be kept for longer during a mass silence,
+// for at most MassSilenceLeases leases. It may not be kept after a takeover, when the jobs that an
+// earlier owner launched wait for the machine, nor while the cloud can supply other machines of its
+// kind, on which its tasks continue sooner.
 func (c *Core) mayWaitForSilent(machine *workers.Machine) bool {
 	return !machine.Spot && !c.awaitedByTakeover(machine) && c.fleet.RecentlyRefused(fleet.Kind{Class: machine.Class, Zone: machine.Zone}) &&
 		c.now.Steady-machine.LastHeartbeat < limits.MassSilenceLeases*c.pool.LeaseDuration
@@ -86,7 +87,7 @@
 }
 
 // holdsUnstoredResults reports whether a machine lists completed tasks whose completion is not
-// durable yet. If the machine were returned now, those tasks would have to run again.
+// durable yet. If the machine were returned to the cloud now, those tasks would have to run again.
 func (c *Core) holdsUnstoredResults(machine *workers.Machine) bool {
 	for _, status := range machine.Tasks {
 		if status.State == wire.TaskEnded && status.Cause == wire.CauseDone {
--- a/internal/controller/order_connections_test.go
+++ b/internal/controller/order_connections_test.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// TestOrderAfterTheWorkerClosedItsConnection checks that the next order uses a new connection if the
-// worker has closed the idle one.
+// TestOrderAfterTheWorkerClosedItsConnection checks that the next order uses a new connection if
+// the worker has closed the idle connection.
 func TestOrderAfterTheWorkerClosedItsConnection(t *testing.T) {
 	server := newOrderServer(t, 100)
 	w := startFakeWorker(t, func(http.ResponseWriter, *http.Request) {})
--- a/internal/controller/partial_failures_test.go
+++ b/internal/controller/partial_failures_test.go
@@ -43,10 +43,10 @@
 	return nil
 }
 
-// TestInboundMessageLossDoesNotBlockTakeover guards against a new owner that waits forever for a
-// machine whose heartbeats arrive but which receives no more answers or orders. The old owner crashes
-// while the cloud is unreachable, and all jobs must still finish. The test must detect a core that
-// assumes that its answers were received.
+// TestInboundMessageLossDoesNotBlockTakeover checks that a new owner does not wait forever for a
+// machine whose heartbeats arrive but which receives no more answers or orders. The old owner
+// crashes while the cloud is unreachable, and all jobs must still finish. The test must detect a
+// core that assumes that its answers were received.
 func TestInboundMessageLossDoesNotBlockTakeover(t *testing.T) {
 	simulate := func(cfg simConfig, seed uint64, injectFault func(*Core)) (sim *simulation, unresolved int) {
 		sim = newSimulation(seed, cfg)
@@ -119,7 +119,8 @@
 }
 
 // TestQuickControllerRestarts crashes controllers again and again, also during the elections that
-// follow, and restarts each within half a second.
+// follow, and restarts each controller within half a second. Afterwards a controller must own the
+// classes, and all jobs must finish without a broken rule.
 func TestQuickControllerRestarts(t *testing.T) {
 	forEachClusterSize(t, 3, func(t *testing.T, cfg simConfig, seed uint64) {
 		sim := newSimulation(seed, cfg)
@@ -242,10 +243,10 @@
 	}
 }
 
-// TestLastOwnerResumesPromptly guards against three seconds without an owner after all controllers
-// have crashed. If the classes are assigned to the first controller that restarts, that controller
-// must wait until the extensions that its earlier incarnation may have granted expire. The last owner
-// need not wait.
+// TestLastOwnerResumesPromptly checks that the last owner resumes without a wait after all
+// controllers have crashed. If the classes are assigned to the first controller that restarts,
+// there is no owner for three seconds: that controller must wait until the extensions that its
+// earlier incarnation may have granted expire. The last owner need not wait.
 func TestLastOwnerResumesPromptly(t *testing.T) {
 	forEachClusterSize(t, 3, func(t *testing.T, cfg simConfig, seed uint64) {
 		sim := newSimulation(seed, cfg)
@@ -331,8 +332,9 @@
 	}
 }
 
-// TestCutOffOwnerReturnsNoMachines verifies that an owner that was cut off from all workers, and has
-// no peer to hand over to, returns no machine when the heartbeats resume one by one.
+// TestCutOffOwnerReturnsNoMachines verifies that an owner that was cut off from all workers, and
+// has no peer to hand over to, returns no machine to the cloud when the heartbeats resume one by
+// one.
 func TestCutOffOwnerReturnsNoMachines(t *testing.T) {
 	simulate := func(cfg simConfig, seed uint64, injectFault func(*Core)) (gone int) {
 		cfg.nodes = 1
--- a/internal/controller/peer_messages.go
+++ b/internal/controller/peer_messages.go
@@ -52,7 +52,7 @@
 func (c *Core) messagePeers() {
 	now := c.now.Steady
 	c.suspendUnusedWorkerLinks()
-	if view := c.links.tick(now, c.log); view != nil {
+	if view := c.linkMonitor.tick(now, c.log); view != nil {
 		c.messageAll(PeerMessage{View: view})
 	}
 	if c.ownership.NeedsExtension() {
--- a/internal/controller/process_cluster_test.go
+++ b/internal/controller/process_cluster_test.go
@@ -103,7 +103,7 @@
 			if err != nil {
 				return
 			}
-			recorded := live.recordSent(label, in)
+			recorded := live.recordRequest(label, in)
 			status, reply := roundTrip(client, req)
 			live.recordAnswer(recorded, status, reply)
 			if status != 0 {
--- a/internal/controller/process_soak_test.go
+++ b/internal/controller/process_soak_test.go
@@ -115,9 +115,9 @@
 	}
 }
 
-// scheduleLongSoakJobs schedules long jobs. Users cancel running ones one after the other, and the remaining
-// ones when the faults are over. Without a cancellation, their tasks would run longer than the time limit for
-// stopping cancelled tasks.
+// scheduleLongSoakJobs schedules long jobs. Users cancel some of the jobs one after the other while
+// they run, and the remaining jobs when the faults are over. Without a cancellation, their tasks
+// would run longer than the time limit for stopping cancelled tasks.
 func (sim *simulation) scheduleLongSoakJobs(largeFleet bool) {
 	tasks := 2
 	if largeFleet {
@@ -194,10 +194,10 @@
 	})
 }
 
-// recordSent records a user's request before it is sent, and returns nil for other inputs. If requests were
-// recorded only when answered, a cancellation in flight at the end of a day would be missing, although
-// another node may already report its job as cancelled.
-func (live *liveSimulation) recordSent(node string, in Input) *history.Exchange {
+// recordRequest records a user's request just before it is sent. It returns nil for inputs that are
+// not users' requests. If requests were recorded only when answered, a cancellation in flight at
+// the end of a day would be missing, although another node may already report its job as cancelled.
+func (live *liveSimulation) recordRequest(node string, in Input) *history.Exchange {
 	exchange := &history.Exchange{Node: node, SentAt: time.Since(live.start)}
 	switch x := in.(type) {
 	case Submit:
--- a/internal/controller/renewals.go
+++ b/internal/controller/renewals.go
@@ -31,12 +31,12 @@
 	Violations int
 }
 
-// renew decides on the answer to a heartbeat of a machine of an owned class: 200, which restarts
-// the machine's lease, a refusal, or a fence first. Every 200 to a heartbeat must go through renew.
-// Otherwise successive owners may each renew a machine without stopping its tasks, because its
-// heartbeat proves nothing to them yet, and a cancelled task keeps running.
-func (c *Core) renew(request HeartbeatRequest, machine *workers.Machine, verdict workers.Verdict) {
-	renewal := c.buildRenewal(machine, request.Heartbeat, verdict)
+// renewOrRefuse decides on the answer to a heartbeat of a machine of an owned class: 200, which
+// restarts the machine's lease, a refusal, or a fence first. Every 200 to a heartbeat must go
+// through renewOrRefuse. Otherwise successive owners may each renew a machine without stopping its
+// tasks, because its heartbeat proves nothing to them yet, and a cancelled task keeps running.
+func (c *Core) renewOrRefuse(request HeartbeatRequest, machine *workers.Machine, verdict workers.Verdict) {
+	renewal := c.buildRenewalInput(machine, request.Heartbeat, verdict)
 	decision := c.renewalRules.DecideRenewal(renewal)
 	switch {
 	case decision.FenceFirst:
@@ -56,7 +56,7 @@
 		body.Commands = []wire.Command{}
 	}
 	if err := c.renewalRules.CheckAnswer(renewal, body.Commands); err != nil {
-		c.renewals.Violations++
+		c.renewalCounts.Violations++
 		c.log(slog.LevelError, "renewal withheld: it would leave a cancelled task running", "machine", machine.ID, "session", machine.Incarnation, "term", machine.Term, "error", err)
 		c.refuseHeartbeat(request)
 		return
@@ -70,7 +70,7 @@
 // withholdRenewal refuses to renew a machine's lease. The machine keeps its tasks until the lease
 // ends.
 func (c *Core) withholdRenewal(request HeartbeatRequest, machine *workers.Machine, decision authority.Decision) {
-	c.renewals.Withheld++
+	c.renewalCounts.Withheld++
 	c.log(slog.LevelInfo, "renewal withheld", "machine", machine.ID, "session", machine.Incarnation, "term", machine.Term, "reason", string(decision.Reason), "attempt", decision.Cause.String(), "job", decision.CauseJob)
 	c.refuseHeartbeat(request)
 }
@@ -91,26 +91,26 @@
 func (c *Core) countRenewal(machine *workers.Machine, verdict workers.Verdict, decision authority.Decision, stopped []authority.Attempt) {
 	switch verdict {
 	case workers.Unproven:
-		c.renewals.Unproven++
+		c.renewalCounts.Unproven++
 	case workers.Overtaken:
-		c.renewals.Overtaken++
+		c.renewalCounts.Overtaken++
 	default:
-		c.renewals.Current++
+		c.renewalCounts.Current++
 	}
 	if len(stopped) > 0 {
-		c.renewals.Stopping++
+		c.renewalCounts.Stopping++
 		c.log(slog.LevelDebug, "tasks stopped", "machine", machine.ID, "stops", len(stopped), "first", stopped[0].String())
 	}
 	if decision.Reason == authority.InTime {
-		c.renewals.Bounded++
+		c.renewalCounts.Bounded++
 	}
 	if decision.Reason != authority.NothingCancelled {
 		c.log(slog.LevelDebug, "renewed", "machine", machine.ID, "session", machine.Incarnation, "term", machine.Term, "proved", verdict.String(), "reason", string(decision.Reason))
 	}
 }
 
-// buildRenewal returns the input for the decision whether to answer a machine's heartbeat with 200.
-func (c *Core) buildRenewal(machine *workers.Machine, heartbeat *wire.Heartbeat, verdict workers.Verdict) authority.RenewalInput {
+// buildRenewalInput returns the input for the decision whether to answer a machine's heartbeat with 200.
+func (c *Core) buildRenewalInput(machine *workers.Machine, heartbeat *wire.Heartbeat, verdict workers.Verdict) authority.RenewalInput {
 	tasks := heartbeat.Tasks
 	if verdict == workers.Overtaken {
 		tasks = machine.Tasks // newer than the heartbeat
--- a/internal/controller/rental_plan.go
+++ b/internal/controller/rental_plan.go
@@ -338,9 +338,9 @@
 	return true
 }
 
-// idleLimit returns how long a machine of a class may be idle before it is returned. Unless the
-// operator sets a time, it follows from the boot time of the class: keeping an idle machine for
-// the boot time of its replacement costs at most twice the optimum with hindsight.
+// idleLimit returns how long a machine of a class may be idle before it is returned to the cloud.
+// Unless the operator sets a time, the limit follows from the boot time of the class: keeping an
+// idle machine for the boot time of its replacement costs at most twice the optimum with hindsight.
 func (c *Core) idleLimit(class string) time.Duration {
 	if c.operator.IdleReturnS > 0 {
 		return limits.Seconds(c.operator.IdleReturnS)
@@ -360,8 +360,8 @@
 		if rental == nil || machine.Deleting || !machine.Adopted {
 			continue
 		}
-		// Classes that can take small tasks off scarce classes keep their idle machines.
-		// Without this rule, hundreds of these machines are returned, with the images on them,
+		// Classes that can take small tasks off scarce classes keep their idle machines. Without
+		// this rule, hundreds of these machines are returned to the cloud, with the images on them,
 		// and rented again a few seconds later.
 		if c.tasksOn(machine.ID) > 0 || used[machine.ID] || c.gangOnlyMachines[machine.ID] || c.keptIdleClasses[machine.Class] || c.holdsUnstoredResults(machine) {
 			rental.IdleSince = 0
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -13,7 +13,7 @@
 )
 
 // nextAttempt returns an attempt number that no other owner and no other incarnation of this
-// process uses: the term is in the upper bits, a counter in the lower ones.
+// process uses: the term is in the upper bits, a counter in the lower bits.
 func (c *Core) nextAttempt(class string) uint64 {
 	c.attemptCounter++
 	return c.activeTerms[class]<<limits.AttemptCounterBits | c.attemptCounter&(1<<limits.AttemptCounterBits-1)
@@ -59,7 +59,7 @@
 		capacity[machineType.Name] = allocation.Resources{}.Add(typeCapacity(machineType), count)
 	}
 	// Spot machines come first because they are cheaper: the more expensive on-demand machines
-	// become idle and can be returned.
+	// become idle and can be returned to the cloud.
 	return append(machines, onDemand...), capacity, unresolved
 }
 
@@ -163,7 +163,7 @@
 		return c.limitGangUnit(unit, job, endedTaskMachines)
 	case job.Faulty():
 		unit.Count = min(unit.Count, limits.MaxFaultyJobTasks-len(job.Assigned))
-	case c.startOverdue(job):
+	case c.isStartOverdue(job):
 		// A job is overdue only until its first task has started; then it loses this priority.
 		unit.Overdue = true
 		unit.ExcludedMachines = job.FailedOn
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -47,7 +47,7 @@
 	keepAliveLimit    int64        // above this number of connections, users' connections are closed after each response
 	connectionLimit   int64        // from this number of connections on, new ones are closed at once
 	ctx               context.Context
-	resources         *resourceMonitor
+	resourceMonitor   *resourceMonitor
 	nextResourceCheck time.Duration
 	// Counters count how often the process came near its budgets.
 	Counters ResourceCounters
@@ -67,7 +67,7 @@
 		s.peers[other.Label] = &peerClient{addr: other.Addr}
 	}
 	s.core = NewCore(settings, operatorSettings, s.now(), rand.Uint64()>>1|1)
-	s.resources = newResourceMonitor(s.heapLimit(), int64(settings.Cluster.Resources.MaxSockets), &s.Counters)
+	s.resourceMonitor = newResourceMonitor(s.heapLimit(), int64(settings.Cluster.Resources.MaxSockets), &s.Counters)
 	return s
 }
 
@@ -104,7 +104,7 @@
 		return
 	}
 	s.nextResourceCheck = now + limits.ResourceCheckInterval
-	s.resources.check(now, s.resources.read(s.inboundConns.Load()+s.orderConns.Load()), s.log)
+	s.resourceMonitor.check(now, s.resourceMonitor.read(s.inboundConns.Load()+s.orderConns.Load()), s.log)
 }
 
 // Run serves requests and runs the event loop until the context ends or the API server fails.
--- a/internal/controller/silence.go
+++ b/internal/controller/silence.go
@@ -28,9 +28,9 @@
 }
 
 // silenceDuration returns for how long a machine has been silent while other machines reported.
-// Time in which no machine reported does not count: otherwise an owner that was cut off from all
-// workers would, on receiving the first heartbeat again, return all other machines with their
-// tasks.
+// Time in which no machine reported does not count. Otherwise an owner that was cut off from all
+// workers would, on receiving the first heartbeat again, return all other machines to the cloud
+// with their tasks.
 func (c *Core) silenceDuration(machine *workers.Machine) time.Duration {
 	return c.now.Steady - max(machine.LastHeartbeat, c.heartbeatsResumedAt)
 }
@@ -84,7 +84,7 @@
 // massSilence reports whether many on-demand machines are silent at once. The cloud does not recall
 // on-demand machines, so they are hung or partitioned and may recover, some within their lease, and
 // a deleted machine may be impossible to replace. Without this check, an owner returned half the
-// fleet 11 s into such a silence.
+// fleet to the cloud 11 s into such a silence.
 func (c *Core) massSilence() bool {
 	total, silent := 0, 0
 	for _, machine := range c.pool.Machines {
--- a/internal/controller/simulation_gangs_test.go
+++ b/internal/controller/simulation_gangs_test.go
@@ -151,9 +151,9 @@
 	g.sim.schedule(250*time.Millisecond, g.monitor)
 }
 
-// stopTask stops one task of the gang. The task saves first if it runs, its job can save and the grace
-// period is long enough, and ends once all tasks of the gang have saved. Otherwise it ends at once,
-// unless it is saving already and the grace period is long enough.
+// stopTask stops one task of the gang. If the task runs, its job can save and the grace period is
+// long enough, the task saves first and ends once all tasks of the gang have saved. Any other task
+// ends at once, unless it is saving already and the grace period is long enough.
 func (g *simGang) stopTask(m *simMachine, t *simTask, graceSeconds float64) {
 	saveSeconds, _ := g.key.job.spec["stowS"].(float64)
 	canSave := g.key.job.spec["markS"].(float64) > 0
--- a/internal/controller/simulation_rules_test.go
+++ b/internal/controller/simulation_rules_test.go
@@ -413,9 +413,9 @@
 	}
 }
 
-// TestManyHangingMachinesAreKept checks that no machine is returned and no task is lost if four
-// of at most ten on-demand machines hang for 11 s of their 14 s lease and then resume, while the
-// cloud has no capacity left.
+// TestManyHangingMachinesAreKept checks that no machine is returned to the cloud and no task is
+// lost if four of at most ten on-demand machines hang for 11 s of their 14 s lease and then resume,
+// while the cloud has no capacity left.
 func TestManyHangingMachinesAreKept(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
 		sim := busySimulation(seed)
--- a/internal/controller/simulation_store_test.go
+++ b/internal/controller/simulation_store_test.go
@@ -13,20 +13,20 @@
 	"umberpaddle/internal/wire"
 )
 
-// simRecord is a record of the state service.
+// simRecord is a record in the simulated state service.
 type simRecord struct {
 	value   msgpack.RawMessage
 	version uint64
 	lease   uint64 // 0: none
 }
 
-// simLease is a lease of the state service.
+// simLease is a lease in the simulated state service.
 type simLease struct {
 	ttl       time.Duration
 	expiresAt time.Duration
 }
 
-// simChange is an entry of the history of changes.
+// simChange is one change of a key in the simulated state service, as watches return it.
 type simChange struct {
 	key   string
 	event wire.Event
@@ -76,8 +76,8 @@
 	}
 }
 
-// dropHistory drops the history of changes and answers all watches with 410. The watching nodes
-// then have to read all records again.
+// dropHistory drops the recorded changes and answers all watches with 410. The watching nodes then
+// have to read all records again.
 func (s *simStore) dropHistory() {
 	s.oldestRevision = s.revision
 	watches := s.watches
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -439,7 +439,7 @@
 	if n.core.jobs.WithheldAnswers > 0 {
 		n.sim.reportViolation("withheld", "%s had an answer older than its request", n.label)
 	}
-	if n.core.renewals.Violations > 0 {
+	if n.core.renewalCounts.Violations > 0 {
 		n.sim.reportViolation("renewal", "%s would have left a cancelled task running", n.label)
 	}
 	for _, term := range n.core.activeTerms {
--- a/internal/controller/simulation_users_test.go
+++ b/internal/controller/simulation_users_test.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// pollStatus queries the status of a job at a random node every few seconds.
+// pollStatus queries the status of a job at a random node, and again every few seconds.
 func (sim *simulation) pollStatus(j *simJob) {
 	reported := j.reportedState
 	node := sim.nodes[sim.rng.IntN(len(sim.nodes))]
--- a/internal/controller/simulation_workers_test.go
+++ b/internal/controller/simulation_workers_test.go
@@ -286,8 +286,8 @@
 	m.nextHeartbeatAt = min(m.nextHeartbeatAt, m.lastHeartbeatAt+500*time.Millisecond)
 }
 
-// observeToken stores a higher fencing token. It triggers an early heartbeat at most once in half a
-// lease.
+// observeToken stores a fencing token if it is higher than the stored token. A new token triggers
+// an early heartbeat, at most once in half a lease.
 func (m *simMachine) observeToken(token uint64) {
 	if token <= m.fencingToken {
 		return
@@ -365,8 +365,8 @@
 	})
 }
 
-// handleOrders executes the commands of a direct order. It rejects an order that has an older fencing
-// token or was sent to another incarnation. Either answer carries a heartbeat.
+// handleOrders executes the commands of a direct order. It rejects an order that has an older
+// fencing token or was sent to another incarnation. The answer carries a heartbeat in both cases.
 func (m *simMachine) handleOrders(body []byte, answer func(int, []byte)) {
 	var orders wire.DirectOrder
 	if err := wire.Decode(body, &orders); err != nil {
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -79,8 +79,8 @@
 	})
 }
 
-// checkSubmission sets the machine types that can run the job's tasks. It returns the reason if the
-// job can never run, else the empty string.
+// checkSubmission sets submission.Types to the machine types that can run the job's tasks. If the
+// job can never run, it returns an error message for the user, otherwise the empty string.
 func (c *Core) checkSubmission(submission *wire.Submission) string {
 	team := c.teams[submission.Team]
 	if team == nil {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -462,16 +462,16 @@
 		boot := limits.Seconds(machineType.BootS * limits.BootFactor)
 		waitingSince := rental.TrackedSince
 		if rental.WasUp || rental.ListedStatus == wire.MachineRunning {
-			// The machine was up, so it may still run and only fail to reach this
-			// node. Without this check, a new owner that no worker can reach would
-			// return the whole fleet.
+			// The machine was up, so it may still run and only fail to reach this node. Without
+			// this check, a new owner that no worker can reach would return the whole fleet to the
+			// cloud.
 			if !receivingHeartbeats {
 				continue
 			}
 			waitingSince = max(waitingSince, receivingSince)
 		}
-		// Without the check of waitingSince, a takeover would return running
-		// machines only because they have not sent a heartbeat to the new owner yet.
+		// Without the check of waitingSince, a takeover would return running machines to the cloud
+		// only because they have not sent a heartbeat to the new owner yet.
 		if m.now-rental.RentedAt > boot+limits.BootSlack && m.now-waitingSince > m.HeartbeatTimeout {
 			neverUp = append(neverUp, rental.ID)
 		}
@@ -480,10 +480,10 @@
 	m.deleteAll(neverUp, ReturnNeverUp)
 }
 
-// Booting returns, for each kind, how many machines are requested or rented but not
-// up yet. A machine that was up and has sent the new owner no heartbeat within
-// TakeoverTimeout is not counted. If it were, no replacements would be rented when
-// half of a fleet becomes unreachable while its owner fails.
+// Booting returns, for each kind, how many machines are requested or rented but not up yet. A
+// machine that was up and has sent the new owner no heartbeat within TakeoverTimeout does not count
+// as booting. Otherwise no replacements would be rented when half of a fleet becomes unreachable
+// while its owner fails.
 func (m *Manager) Booting() map[Kind]int {
 	counts := map[Kind]int{}
 	for _, rental := range m.Rentals {
--- a/internal/jobs/done_sets.go
+++ b/internal/jobs/done_sets.go
@@ -86,8 +86,8 @@
 	r.store.Txn(statestore.PriorityProgress, limits.StoreTimeout*2, txn, func(statestore.Reply) { r.removingOrphans = false })
 }
 
-// Prepare writes the job's done set, which marks that its tasks may be running. It must be called
-// until Prepared is set; only then may the first task be launched.
+// Prepare writes the job's done set, whose existence means that tasks of the job may be running.
+// The caller repeats the call until the job's Prepared is set, and launches no task before that.
 func (r *Registry) Prepare(j *Job) {
 	switch {
 	case j.MayHaveLaunched():
--- a/internal/jobs/final_states.go
+++ b/internal/jobs/final_states.go
@@ -146,8 +146,9 @@
 	delete(r.nextWriteAt, id)
 }
 
-// cacheFinal adds a final state to the cache and evicts the oldest entry of a full cache. A new
-// cancellation is also added to the cancellations to send to peers, and marks the job if it is open.
+// cacheFinal adds a final state to the cache and evicts the oldest entry of a full cache. A
+// cancellation that was not in the cache is also queued to be sent to peers, and the job is marked
+// as cancelled if it is open.
 func (r *Registry) cacheFinal(id string, final finalState) {
 	if _, ok := r.finals[id]; !ok {
 		if final.Status == wire.StatusCancelled {
--- a/internal/jobs/registry.go
+++ b/internal/jobs/registry.go
@@ -131,8 +131,8 @@
 	if stored, ok := r.doneSets.Stored(id); ok {
 		r.applyDoneSet(id, "", stored, false)
 	}
-	// Keys under c/ sort before those under o/, so the mark may have been read before the record.
-	// A user request or a peer may also have reported the cancellation before the record arrived.
+	// Keys under c/ sort before keys under o/, so the mark may have been read before the record. A
+	// user request or a peer may also have reported the cancellation before the record arrived.
 	_, marked := r.store.Mirror.Get(keyCancelled + id)
 	if marked || r.finals[id].Status == wire.StatusCancelled {
 		// This node may have known of the cancellation for a long time.
--- a/internal/jobs/registry_test.go
+++ b/internal/jobs/registry_test.go
@@ -214,8 +214,8 @@
 	}
 }
 
-// TestChunksWithoutJobAreRemoved guards against chunks that stay in the state service after their
-// job: a job of 100,000 tasks has more chunks than one transaction may remove.
+// TestChunksWithoutJobAreRemoved checks that no chunks stay in the state service after their job: a
+// job of 100,000 tasks has more chunks than one transaction may remove.
 func TestChunksWithoutJobAreRemoved(t *testing.T) {
 	h := newHarness(t)
 	h.openJob("job-1", limits.MaxTasks, 5)
@@ -280,8 +280,8 @@
 	}
 }
 
-// TestRefusedRecordFailsAlone guards against a record that the state service refuses for its size
-// and that makes the other submissions in its transaction fail too.
+// TestRefusedRecordFailsAlone checks that a record that the state service refuses for its size does
+// not make the other submissions in its transaction fail too.
 func TestRefusedRecordFailsAlone(t *testing.T) {
 	h := newHarness(t)
 	h.tick()
--- a/internal/jobs/stale_answers_test.go
+++ b/internal/jobs/stale_answers_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestRepeatAfterLookupSent guards against a stale answer to a repeated submission. A submission
-// of an existing job waits for a lookup, which is sent and finds the job open. Then another node
+// TestRepeatAfterLookupSent checks that a repeated submission gets no stale answer. A submission of
+// an existing job waits for a lookup, which is sent and finds the job open. Then another node
 // confirms the job's cancellation to a user, and the submission is repeated. The repeat must not
 // share the answer of the lookup, which was sent before the repeat arrived.
 func TestRepeatAfterLookupSent(t *testing.T) {
@@ -94,9 +94,9 @@
 	h.requireNewLookup("job-1", &repeat)
 }
 
-// TestRepeatAfterCommitSent guards against the same fault with the transaction that accepts the
-// job: its reply is late, and before the repeat arrives, other nodes have confirmed to users that
-// the job was accepted and cancelled.
+// TestRepeatAfterCommitSent checks that a repeated submission gets no stale answer from the
+// transaction that accepts the job. The reply to the transaction is late, and before the repeat
+// arrives, other nodes have confirmed to users that the job was accepted and cancelled.
 func TestRepeatAfterCommitSent(t *testing.T) {
 	h, commit, first := newHarnessWithSubmission(t, "job-1")
 	var repeat []Answer
@@ -108,9 +108,10 @@
 	h.requireNewLookup("job-1", &repeat)
 }
 
-// TestLateAcceptanceReturnsKnownFinalState guards against a "pending" answer after a "cancelled"
-// one. A peer's message that the job is cancelled arrives before the reply to the transaction that
-// accepted the job, and this node has already answered a query with the final state.
+// TestLateAcceptanceReturnsKnownFinalState checks that no user gets the answer "pending" after
+// another user got the answer "cancelled". A peer's message that the job is cancelled arrives
+// before the reply to the transaction that accepted the job, and this node has already answered a
+// query with the final state.
 func TestLateAcceptanceReturnsKnownFinalState(t *testing.T) {
 	h, commit, first := newHarnessWithSubmission(t, "job-1")
 	h.registry.MergeCancellations(h.now, []string{"job-1"})
--- a/internal/jobs/submissions.go
+++ b/internal/jobs/submissions.go
@@ -58,8 +58,8 @@
 	r.queuedSubmissions = append(r.queuedSubmissions, sub)
 }
 
-// joinSubmission makes the repeat of a submission wait for the unfinished one. If the job is
-// already known to exist, the repeat gets a lookup of its own.
+// joinSubmission makes a repeated submission wait for the result of the unfinished submission of
+// the same job. If the job is already known to exist, the repeat gets a lookup of its own.
 func (r *Registry) joinSubmission(sub *submission, w *waiter) {
 	if sub.jobExists {
 		r.startLookup(&lookup{waiter: w})
@@ -68,7 +68,7 @@
 	sub.waiters = append(sub.waiters, w)
 }
 
-// closeSubmission ends a submission. A later repeat starts a new one.
+// closeSubmission ends a submission. A later repeat starts a new submission.
 func (r *Registry) closeSubmission(sub *submission) {
 	if r.submissionsByID[sub.job.ID] == sub {
 		delete(r.submissionsByID, sub.job.ID)
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -54,7 +54,7 @@
 	RenewInterval = 700 * time.Millisecond
 	// ExtensionTTL is how long an extension, a peer's permission to go on without the state
 	// service, is valid for the owner that requested it. A restarted peer waits this long, plus
-	// clock margins, before it takes over from another node. With these margins it is still
+	// clock margins, before it takes over from another node. Even with these margins, the wait is
 	// shorter than NodeLease.
 	ExtensionTTL = 2200 * time.Millisecond
 	// GrantTTL is how long the peer that granted an extension doesn't take over from the owner:
@@ -63,10 +63,9 @@
 	// ExtensionInterval is how often an owner requests extensions while the state service is
 	// unreachable or the owner's information about cancellations is becoming stale.
 	ExtensionInterval = 500 * time.Millisecond
-	// CancelMargin is the part of cancel_s that is reserved in addition to a worker's lease. It
-	// lies between the last answer that an owner gives without information about a cancellation
-	// and the time by which the cancelled tasks must have stopped, and covers timers and the
-	// answer to the user.
+	// CancelMargin is the part of cancel_s that is left after the longest time for which an owner
+	// may answer workers without information about a cancellation, and the lease that its last
+	// answer starts. It covers timers and the answer to the user.
 	CancelMargin = time.Second
 	// MinStaleness is the least time for which an owner may act without new information about
 	// cancellations, whatever cancel_s is: two watches without events, each with the time that its
@@ -141,8 +140,8 @@
 	QueryReserve = 0.3
 	// PageFillShare is the part of the largest value size up to which a key with many records is
 	// filled. MaxPageBytes also bounds such a key, because a change of one record writes all
-	// records of the key again. MaxPageTxnBytes bounds the records of one transaction, which may
-	// have 64 KiB.
+	// records of the key again. MaxPageTxnBytes bounds the records in one transaction, whose whole
+	// body may have 64 KiB.
 	PageFillShare   = 0.75
 	MaxPageBytes    = 6 << 10
 	MaxPageTxnBytes = 48 << 10
@@ -151,9 +150,9 @@
 	// MaxPackedTasks is the largest number of tasks for which a job's done set shares a key
 	// with the done sets of other jobs.
 	MaxPackedTasks = 1024
-	// ChunkTasks is the number of tasks whose done bits share one key: 1 KiB of bits,
-	// 1.4 KiB as text, which fits a 2 KiB value. Format1ChunkTasks is the same for versions
-	// that read only record format 1: 2.7 KiB as text.
+	// ChunkTasks is the number of tasks whose done bits share one key: 1 KiB of bits, 1.4 KiB as
+	// text, which fits a 2 KiB value. Format1ChunkTasks is the number of tasks in a chunk for
+	// versions that read only record format 1; such a chunk takes 2.7 KiB as text.
 	ChunkTasks        = 8192
 	Format1ChunkTasks = 16384
 	// DoneSetFlushInterval is the pause between two writes of done sets.
@@ -166,8 +165,8 @@
 	// which no event reports.
 	MachineRecordScanInterval = time.Second
 	// MachineCheckInterval is how often an owner checks its machines for those that are silent,
-	// lost or to be returned. These conditions last seconds, and ten checks a second would take a
-	// twentieth of an owner's CPU time.
+	// lost or to be returned to the cloud. These conditions last seconds, and ten checks a second
+	// would take a twentieth of an owner's CPU time.
 	MachineCheckInterval = 250 * time.Millisecond
 	// JobSortInterval is how long the order of jobs is reused while no job is submitted
 	// or ends; without such events, the order changes only with time.
@@ -223,7 +222,8 @@
 	// MaxSubmitWriteWait is the longest wait for the write budget with which a submission
 	// is still accepted. If the wait would be longer, the reply says when to try again.
 	MaxSubmitWriteWait = time.Second
-	// QueryTimeout is the same as SubmitTimeout, for a query. Users wait 2 s for its answer.
+	// QueryTimeout is how long a query may wait for the state service before the user is asked to
+	// try again. Users wait 2 s for the answer to a query.
 	QueryTimeout = 1500 * time.Millisecond
 	// MaxWaitingRequests bounds the users' requests that wait in this node.
 	MaxWaitingRequests = 400
@@ -239,22 +239,22 @@
 
 // Machines.
 const (
-	// MaxMissedHeartbeats is how many heartbeat intervals, each taken a quarter longer because
-	// heartbeats may be that late, a machine may be silent before it is deleted to free its tasks.
-	// The silence allowed is at most one such interval plus HeartbeatRetryTime, within which a
-	// worker whose heartbeat got no answer sends the next one: it waits 4 s for the answer, 1 s
-	// before it tries the next node, and 0.5 s for the owner that the next node names.
+	// MaxMissedHeartbeats is the number of heartbeat intervals for which a machine may be silent
+	// before it is deleted to free its tasks. Each interval is counted a quarter longer, because
+	// heartbeats may be that late. The allowed silence is at most one such interval plus
+	// HeartbeatRetryTime, within which a worker whose heartbeat got no answer sends the next one:
+	// the worker waits 4 s for the answer, 1 s before it tries the next node, and 0.5 s for the
+	// owner that the next node names.
 	MaxMissedHeartbeats = 3
 	HeartbeatRetryTime  = 6 * time.Second
 	// MinSilenceLimit is the least silence after which a machine is deleted, however short the
 	// heartbeat interval. It is longer than a worker takes to change to another node.
 	MinSilenceLimit = 7 * time.Second
-	// TakeoverSlack, added to 1.25 heartbeat intervals, is how long a machine may take to find a
-	// new owner: a refused heartbeat, a pause of one second, and a heartbeat that is redirected.
+	// TakeoverSlack plus 1.25 heartbeat intervals is how long a machine may take to find a new
+	// owner: a refused heartbeat, a pause of one second, and a heartbeat that is redirected.
 	TakeoverSlack = 2500 * time.Millisecond
-	// ProbeSlack, added to 1.25 heartbeat intervals, is the silence after which a machine is
-	// probed, and probed again every ProbeInterval. MaxProbesInFlight bounds the concurrent
-	// probes.
+	// ProbeSlack plus 1.25 heartbeat intervals is the silence after which a machine is probed. The
+	// probe is repeated every ProbeInterval. MaxProbesInFlight bounds the concurrent probes.
 	ProbeSlack        = 500 * time.Millisecond
 	ProbeInterval     = 2 * time.Second
 	MaxProbesInFlight = 96
@@ -264,11 +264,10 @@
 	// ForeignArrivalMaxAge is how long a heartbeat that reached a node which doesn't own its class
 	// counts as evidence that workers can reach that node.
 	ForeignArrivalMaxAge = 3 * time.Second
-	// UnreachableHeartbeats, in heartbeat intervals, and UnreachableFloor are the times after
-	// which an owner that received no heartbeat at all hands its classes over; the longer one
-	// counts. A worker sends its next heartbeat within 1.25 intervals, and stops waiting for an
-	// answer after 4 s. The time must leave the workers most of their lease to find the next
-	// owner.
+	// UnreachableHeartbeats heartbeat intervals or UnreachableFloor, whichever is longer, is the
+	// time after which an owner that received no heartbeat at all hands its classes over. A worker
+	// sends its next heartbeat within 1.25 intervals, and stops waiting for an answer after 4 s.
+	// The time must leave the workers most of their lease to find the next owner.
 	UnreachableHeartbeats = 1.25
 	UnreachableFloor      = 4 * time.Second
 	// TakeoverSettleTime is how long no further machine must have sent a new owner its first
@@ -276,8 +275,8 @@
 	TakeoverSettleTime = time.Second
 	// MassSilenceMinMachines and MassSilenceShare are the number and the part of the on-demand
 	// machines from which a simultaneous silence is treated as a partition or a hang that may end.
-	// These machines are not deleted before they have been silent for MassSilenceLeases leases, but
-	// only if the cloud refused a machine of their kind within RefusalMaxAge.
+	// If the cloud refused a machine of their kind within RefusalMaxAge, these machines are not
+	// deleted before they have been silent for MassSilenceLeases leases.
 	MassSilenceMinMachines = 3
 	MassSilenceShare       = 0.2
 	MassSilenceLeases      = 2
@@ -287,9 +286,9 @@
 	BootFactor = 2.0
 	// BootSlack is added to the boot time because the cloud's machine lists lag.
 	BootSlack = 10 * time.Second
-	// IdleBootTimes is how long a machine may be idle before it is returned, in
-	// nominal boot times. A machine that is kept too long then costs no more than a new
-	// rental, including the fetch of an image.
+	// IdleBootTimes is how long a machine may be idle before it is returned to the cloud, in
+	// nominal boot times. A machine that is kept too long then costs no more than a new rental,
+	// including the fetch of an image.
 	IdleBootTimes = 0.7
 	// SpotRiskDecayTime is the time constant of the exponential decay of past spot losses.
 	// SpotRiskPrior is both the number of losses and the number of machine hours that are assumed
@@ -300,8 +299,9 @@
 	// checkpoints may take if its job has a deadline. Above it, the task runs on an on-demand
 	// machine if there is a choice.
 	MaxDeadlineSpotRisk = 0.03
-	// MaxSpotRisk is the same for tasks without a deadline. Above it, the loss of one task in
-	// eight costs more than the on-demand capacity that urgent tasks must then find elsewhere.
+	// MaxSpotRisk is the highest risk of losing its spot machine that a task without checkpoints
+	// may take if its job has no deadline. Above it, the loss of one task in eight costs more than
+	// the on-demand capacity that urgent tasks must then find elsewhere.
 	MaxSpotRisk = 0.12
 	// MaxLateRisk is the highest chance of losing any of its tasks that a job on spot machines
 	// may take if a lost task could not be redone in time. Above it, the job runs on on-demand
@@ -335,8 +335,8 @@
 	CloudTimeout = 4 * time.Second
 	// CloudBackoff is the pause before the next request after the cloud failed.
 	CloudBackoff = time.Second
-	// MachineListInterval is the pause between reads of the machine list, and
-	// MachineTypesInterval that between reads of the machine types and their prices.
+	// MachineListInterval is the pause between reads of the machine list, and MachineTypesInterval
+	// the pause between reads of the machine types and their prices.
 	MachineListInterval  = 5 * time.Second
 	MachineTypesInterval = 30 * time.Second
 	// CloudBudgetUse is the part of the cloud's request budget that is used.
@@ -384,11 +384,11 @@
 	// with each repeat. Repeats are worthwhile because a refused heartbeat costs its worker two
 	// seconds or more.
 	FenceRepeatDelay = 300 * time.Millisecond
-	// DirectOrderSlack, added to a heartbeat interval, is the silence after which a machine is
-	// sent no direct orders, because they would hang.
+	// DirectOrderSlack plus a heartbeat interval is the silence after which a machine is sent no
+	// direct orders, because they would hang.
 	DirectOrderSlack = 500 * time.Millisecond
-	// ClearAfterLeases is for how many leases an attempt that was launched by a direct order stays
-	// listed at the worker after its end, in case the order is carried out again.
+	// ClearAfterLeases is the number of leases for which an attempt that was launched by a direct
+	// order stays listed at the worker after its end, in case the order is carried out again.
 	ClearAfterLeases = 4.0
 	// MaxCommands bounds the commands of one answer, well within MaxBodyBytes.
 	MaxCommands = 200
@@ -417,11 +417,11 @@
 	GangDemandHalfLife  = 60 * time.Second
 	// GangReserveInterval is the pause between updates of the machines reserved for gangs.
 	GangReserveInterval = 500 * time.Millisecond
-	// GangCompletionTime, in addition to the fetch of the image, is how long placing and launching
-	// the missing tasks of a gang may take: two heartbeats of a slow machine.
+	// GangCompletionTime plus the time to fetch the image is how long placing and launching the
+	// missing tasks of a gang may take: two heartbeats of a slow machine.
 	GangCompletionTime = 10 * time.Second
-	// GangStopSlack, in addition to 1.25 heartbeat intervals, gang_peer_s and the time to save, is
-	// how long an owner waits for a gang that was ordered to save and stop before it ends the
+	// GangStopSlack plus 1.25 heartbeat intervals, gang_peer_s and the time to save is how long an
+	// owner waits for a gang that was ordered to save and stop. After that, the owner ends the
 	// attempt.
 	GangStopSlack = 2 * time.Second
 )
@@ -431,8 +431,9 @@
 	// MinRunShare is the part of its estimate that a task is assumed to run at least when
 	// deciding whether a job can still meet a target.
 	MinRunShare = 1.0
-	// OverloadHorizon is how long the work of jobs that can still meet a target must keep the
-	// machines busy before jobs are sorted by least remaining work.
+	// OverloadHorizon is the backlog from which the load counts as an overload: the time that all
+	// machines would need for the work of the jobs that can still meet a target. Under overload,
+	// these jobs too are sorted by least remaining work.
 	OverloadHorizon = 120 * time.Second
 )
 
@@ -441,11 +442,12 @@
 	// PreemptInterval is the pause between checks for resources to preempt: a start within a
 	// guarantee may take some seconds.
 	PreemptInterval = 500 * time.Millisecond
-	// MaxPreemptShare is the largest part of the machines, in addition to one, on which one check
-	// may preempt tasks. Otherwise tasks that are about to end by themselves would all be stopped.
+	// MaxPreemptShare bounds the machines on which one check may preempt tasks: one machine plus
+	// this part of all machines. Without this bound, tasks that are about to end by themselves
+	// would all be stopped.
 	MaxPreemptShare = 0.1
-	// PreemptSlack, in addition to two heartbeat intervals and the time to save, is how long the
-	// resources of a machine are held for the job that waits for them.
+	// PreemptSlack plus two heartbeat intervals and the time to save is how long the resources of a
+	// machine are held for the job that waits for them.
 	PreemptSlack = 3 * time.Second
 	// PreemptMinRun is how long a task runs at least before it may be preempted: the
 	// objectives don't count a start that is undone sooner.
@@ -459,8 +461,8 @@
 	// a long task that must end first fit in the rest of the four minutes.
 	StartOverdueAfter    = 120 * time.Second
 	MaxOverdueStartTasks = 2
-	// MaxHeldShare is the part of the machines, in addition to one, that may be held for
-	// overdue jobs.
+	// MaxHeldShare bounds the machines that may be held for overdue jobs: one machine plus this
+	// part of all machines.
 	MaxHeldShare = 0.02
 )
 
@@ -474,8 +476,8 @@
 	// InboxSize bounds the events that wait for the event loop.
 	InboxSize = 1024
 	// QueryQueueSize bounds the users' queries that wait for the event loop. A query waits up to
-	// QueryEnqueueTimeout for room in the queue, and then up to QueryAnswerTimeout for its
-	// answer. Users give up after 2 s, and a reply that asks them to try again serves them better.
+	// QueryEnqueueTimeout for room in the queue, and then up to QueryAnswerTimeout for its answer.
+	// Users give up after 2 s, so they are asked to try again before that.
 	QueryQueueSize      = 64
 	QueryEnqueueTimeout = 300 * time.Millisecond
 	QueryAnswerTimeout  = 1600 * time.Millisecond
@@ -496,7 +498,7 @@
 	// SocketReserveShare is the part of max_sockets that users may not use. It is reserved for
 	// workers, probes and this node's own connections.
 	SocketReserveShare = 0.4
-	// UserIdleTimeout and IdleHeartbeats heartbeat intervals, whichever is longer, is the time after
+	// UserIdleTimeout or IdleHeartbeats heartbeat intervals, whichever is longer, is the time after
 	// which an idle connection of a user or worker is closed. Users poll about every 5 s, and a
 	// worker that has sent no heartbeat for two intervals sends the next one on another connection.
 	UserIdleTimeout = 20 * time.Second
--- a/internal/ownership/extension.go
+++ b/internal/ownership/extension.go
@@ -7,10 +7,10 @@
 )
 
 // GrantExtension reports whether this node grants a peer an extension, with which the peer may
-// continue to answer its workers for the given classes and terms. The node does so if the state service
-// is unreachable for the node as well and it has no record of a later term of these classes. After a
-// grant, the node takes over no class for limits.GrantTTL. The node has no memory of the time before its
-// process began, so the peer also checks the node's Uptime.
+// continue to answer its workers for the given classes and terms. The node grants the extension if
+// it cannot reach the state service either and has no record of a later term of these classes.
+// After a grant, the node takes over no class for limits.GrantTTL. The node has no memory of the
+// time before its process began, so the peer also checks the node's Uptime.
 func (n *Node) GrantExtension(now time.Duration, terms map[string]uint64) bool {
 	if now > n.now {
 		n.now = now
@@ -66,9 +66,9 @@
 	return began <= max(n.leaseEnd, n.noTakeoverUntil[peer])
 }
 
-// NeedsExtension reports whether an owner should ask the peers for extensions now: the state service is
-// down, or half of MaxStaleness has passed without new information about cancellations. If so, it also
-// delays the next request by limits.ExtensionInterval.
+// NeedsExtension reports whether an owner should ask the peers for extensions now: the state
+// service is down, or half of MaxStaleness has passed without new information about cancellations.
+// When it returns true, it also delays the next request by limits.ExtensionInterval.
 func (n *Node) NeedsExtension() bool {
 	stale := n.now-n.CancellationsKnownThrough() > n.MaxStaleness/2
 	if len(n.claims) == 0 || !n.store.Down() && !stale || n.now < n.nextExtensionRequest {
--- a/internal/ownership/handover.go
+++ b/internal/ownership/handover.go
@@ -9,8 +9,9 @@
 	"umberpaddle/internal/wire"
 )
 
-// release maps classes that are being handed over to the successor and removes this node's claims to
-// them. It does so in one transaction if the write limit allows, so that the classes stay together.
+// release maps classes that are being handed over to the successor and removes this node's claims
+// to them. All of them go into one transaction if the write limit allows, so that the classes stay
+// together.
 func (n *Node) release(classes []string) {
 	next := n.successor()
 	if len(classes) == 0 || next == "" {
--- a/internal/ownership/rduc.go
+++ b/internal/ownership/rduc.go
@@ -9,7 +9,7 @@
 type Demand map[string]map[string]bool
 
 // RDUCs groups the demanded classes into resource-dependent user clusters: the connected components
-// of the graph that links teams sharing a class (section II-C of the paper), found by breadth-first
+// of the graph that links teams sharing a class (UDRF paper, section II-C), found by breadth-first
 // search (section III-A). Each group is sorted, and the groups are sorted by their first class, so
 // equal demands give equal results.
 func RDUCs(demand Demand) [][]string {
--- a/internal/ownership/rduc_test.go
+++ b/internal/ownership/rduc_test.go
@@ -14,7 +14,7 @@
 }
 
 func TestRDUCsAreConnectedComponents(t *testing.T) {
-	// The example in figure 1 of the paper: three users are linked through shared classes, and a
+	// The example in figure 1 of the UDRF paper: three users are linked through shared classes, and a
 	// fourth uses a class of its own.
 	demand := Demand{"u1": set("hadoop", "standard"), "u2": set("standard", "public-ip"), "u3": set("public-ip"), "u4": set("high-memory")}
 	got := RDUCs(demand)
--- a/internal/reachability/damper.go
+++ b/internal/reachability/damper.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// damper suppresses a flapping link, as RFC 2439 does for routes: each failure adds a penalty, which
-// decays with a half-life. At an upper threshold the link is suppressed, and it stays so until the
-// penalty has decayed below a lower one. The penalty has a maximum, which bounds the time from the
-// last failure until the link is used again.
+// damper suppresses a flapping link, as RFC 2439 does for routes: each failure adds a penalty,
+// which decays with a half-life. Once the penalty reaches an upper threshold, the link is
+// suppressed until the penalty has decayed below a lower threshold. The penalty has a maximum,
+// which bounds the time from the last failure until the link is used again.
 type damper struct {
 	settings   DamperSettings
 	penalty    float64
--- a/internal/reachability/view_test.go
+++ b/internal/reachability/view_test.go
@@ -55,8 +55,9 @@
 	return view
 }
 
-// TestOutdatedViewsAreIgnored checks that a view that arrives late does not replace a newer one, that a
-// view of a restarted process does, and that a view expires.
+// TestOutdatedViewsAreIgnored checks that a view that arrives late does not replace a newer view,
+// that a view of a restarted process replaces the view of the earlier process, and that a view
+// expires.
 func TestOutdatedViewsAreIgnored(t *testing.T) {
 	views := NewViewSet("a", 5*time.Second)
 	views.Add(newView("a", Down, Up), 10*time.Second)
--- a/internal/statestore/mirror.go
+++ b/internal/statestore/mirror.go
@@ -38,8 +38,8 @@
 	// FullReads counts how often all keys were read: at the start, and after each watch
 	// that was answered with 410.
 	FullReads int
-	// KnownThrough is a time at which a request was sent. The mirror contains every change
-	// made before it.
+	// KnownThrough is the time up to which the mirror is complete: it contains every change that
+	// was made before that time. It is the time at which an answered request was sent.
 	KnownThrough    time.Duration
 	requestInFlight bool
 	retryAt         time.Duration
--- a/internal/statestore/record_table.go
+++ b/internal/statestore/record_table.go
@@ -292,7 +292,7 @@
 	return parts
 }
 
-// tableWrite is a transaction that is being put together. txn.Then[i] writes pages[i].
+// tableWrite is a transaction under construction. txn.Then[i] writes pages[i].
 type tableWrite struct {
 	txn            wire.Txn
 	pages          []*page
--- a/internal/statestore/record_table_test.go
+++ b/internal/statestore/record_table_test.go
@@ -110,9 +110,9 @@
 	}
 }
 
-// TestRecordTableConvergesToLastValues guards against records that are lost, outdated or
-// left over after requests or replies of transactions were lost. Once transactions succeed
-// again, the table must have applied exactly the last requested values.
+// TestRecordTableConvergesToLastValues checks that no record is lost, outdated or left over after
+// requests or replies of transactions were lost. Once transactions succeed again, the table must
+// have applied exactly the last requested values.
 func TestRecordTableConvergesToLastValues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newTableHarness(t)
@@ -144,9 +144,9 @@
 	})
 }
 
-// TestFullKeysAreSplit guards against a key that was filled under larger limits and would
-// be rejected forever under smaller ones. The excess records must move to other keys, none
-// may be lost or reported as removed, and every write must fit the limits.
+// TestFullKeysAreSplit checks that a key that was filled under larger limits is not rejected
+// forever under smaller limits. The excess records must move to other keys, none may be lost or
+// reported as removed, and every write must fit the limits.
 func TestFullKeysAreSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newTableHarness(t)
@@ -185,8 +185,8 @@
 	})
 }
 
-// TestRecordsShareKeys guards against a fleet that takes minutes to be stored because each
-// machine has a key of its own.
+// TestRecordsShareKeys checks that the records of a fleet share keys. If each machine had a key of
+// its own, storing the fleet would take minutes.
 func TestRecordsShareKeys(t *testing.T) {
 	h := newTableHarness(t)
 	for i := 0; i < 300; i++ {
@@ -200,9 +200,8 @@
 	}
 }
 
-// TestRecordsOfAnotherOwnerAreNotWritten guards against writes for a class that this node
-// does not own. Nothing may be written, not even under a guard with version 0, which passes
-// while no node owns the class.
+// TestRecordsOfAnotherOwnerAreNotWritten checks that nothing is written for a class that this node
+// does not own, not even under a guard with version 0, which passes while no node owns the class.
 func TestRecordsOfAnotherOwnerAreNotWritten(t *testing.T) {
 	h := newTableHarness(t)
 	h.term = 0
@@ -219,8 +218,8 @@
 	}
 }
 
-// TestProgressLeavesTokensForUsers guards against submissions that wait because writes of
-// machine records and done bits have used up the write budget.
+// TestProgressLeavesTokensForUsers checks that submissions do not wait because writes of machine
+// records and done bits have used up the write budget.
 func TestProgressLeavesTokensForUsers(t *testing.T) {
 	s := New(150, 20, 8, 4)
 	s.Mirror.requestInFlight = true
--- a/internal/statestore/store.go
+++ b/internal/statestore/store.go
@@ -28,10 +28,10 @@
 	priorityCount
 )
 
-// writeReserve is the fraction of the write bucket that a priority leaves to higher
-// ones. Without it, a submission waits for tokens that a batch has just used up.
-// requestReserve is the same for the request bucket. Without it, submissions queue
-// behind status queries, which users send many times as often.
+// writeReserve is the fraction of the write bucket that a priority leaves to higher priorities.
+// Without it, a submission waits for tokens that a batch has just used up. requestReserve is the
+// fraction of the request bucket that a priority leaves to higher priorities. Without it,
+// submissions queue behind status queries, which users send many times as often.
 var (
 	writeReserve   = [priorityCount]float64{PriorityProgress: limits.ProgressReserve}
 	requestReserve = [priorityCount]float64{PriorityQuery: limits.QueryReserve}
@@ -111,7 +111,7 @@
 	requestBucket   tokenBucket
 	writeBucket     tokenBucket
 	queues          [priorityCount][]*request
-	queued          int
+	queuedCount     int
 	inFlight        map[uint64]*inFlight
 	lastCallID      uint64
 	pausedUntil     time.Duration // of the queued requests, only PriorityLease is sent before this
@@ -215,12 +215,12 @@
 // enqueue queues a request. If the queue is full, any request but one of PriorityLease is
 // rejected with a 503.
 func (s *Store) enqueue(r *request) {
-	if s.queued >= limits.MaxStoreQueue && r.prio != PriorityLease {
+	if s.queuedCount >= limits.MaxStoreQueue && r.prio != PriorityLease {
 		r.done(Reply{Status: 503, SentAt: s.now})
 		return
 	}
 	s.queues[r.prio] = append(s.queues[r.prio], r)
-	s.queued++
+	s.queuedCount++
 }
 
 // Advance sets the current time without sending or dropping any request. Without it,
@@ -252,7 +252,7 @@
 	remaining := queue[:0:0]
 	for i, r := range queue {
 		if r.deadline != 0 && s.now >= r.deadline {
-			s.queued--
+			s.queuedCount--
 			r.done(Reply{Status: 503, SentAt: s.now})
 			continue
 		}
@@ -271,10 +271,10 @@
 		}
 		s.requestBucket.level--
 		s.writeBucket.level -= float64(r.writes)
-		s.queued--
+		s.queuedCount--
 		s.send(r, limits.StoreTimeout)
 	}
-	// The callbacks of dropped requests may have queued new ones.
+	// The callbacks of dropped requests may have queued new requests.
 	if added := s.queues[p][len(queue):]; len(added) > 0 {
 		remaining = append(remaining, added...)
 	}
--- a/internal/statestore/store_test.go
+++ b/internal/statestore/store_test.go
@@ -112,9 +112,9 @@
 	}
 }
 
-// TestWatchesAndQueriesLeaveRequestsForSubmissions guards against submissions that wait
-// because watches and status queries have used up the node's request budget. Keys change
-// and users query all the time, and every submission must still be sent at once.
+// TestWatchesAndQueriesLeaveRequestsForSubmissions checks that submissions do not wait because
+// watches and status queries have used up the node's request budget. Keys change and users query
+// all the time, and every submission must still be sent at once.
 func TestWatchesAndQueriesLeaveRequestsForSubmissions(t *testing.T) {
 	s, watch := newLoadedStore(t)
 	s.SetShare(1.0/7, 1.0/7)
@@ -156,9 +156,9 @@
 	}
 }
 
-// TestSmallWritesDoNotStarveLargeTransactions guards against transactions with several
-// writes that are never sent, because a stream of single writes of a lower priority, more
-// than the budget allows, takes every token first.
+// TestSmallWritesDoNotStarveLargeTransactions checks that transactions with several writes are sent
+// although a stream of single writes of a lower priority, more than the budget allows, could take
+// every token first.
 func TestSmallWritesDoNotStarveLargeTransactions(t *testing.T) {
 	s, _ := newLoadedStore(t)
 	s.SetShare(0.5, 0.5) // 9 writes per second
@@ -187,11 +187,10 @@
 	}
 }
 
-// TestFullReadIsNoNewerThanItsFirstPage guards against a stale mirror that passes for
-// current. After a 410 all keys are read again, page by page. A key that is written
-// meanwhile, before the last key read, is in no page: only the watch from the first page's
-// revision reports it. Until then KnownThrough must not pass the time at which the first
-// page was requested.
+// TestFullReadIsNoNewerThanItsFirstPage checks that a mirror does not count as more current than it
+// is. After a 410 all keys are read again, page by page. A key that is written meanwhile, before
+// the last key read, is in no page: only the watch from the first page's revision reports it. Until
+// then KnownThrough must not pass the time at which the first page was requested.
 func TestFullReadIsNoNewerThanItsFirstPage(t *testing.T) {
 	s, watch := newLoadedStore(t)
 	cancelled, job := Root+"c/job-1", Root+"o/job-1"
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -106,9 +106,9 @@
 	Tasks        []TaskStatus `msgpack:"sheets"`
 }
 
-// Validate checks what decoding does not. A text that is too long for a record is invalid: without
-// this check, the record of the machine could never be written, nor the records that wait to be
-// written with it.
+// Validate checks conditions on the values of a heartbeat that decoding does not check. A text that
+// is too long for a record is invalid: without this check, the record of the machine could never be
+// written, nor the records that wait to be written with it.
 func (h *Heartbeat) Validate() error {
 	if h.Machine == "" {
 		return errors.New("hut: missing")
