--- a/internal/allocation/allocation.go
+++ b/internal/allocation/allocation.go
@@ -1,6 +1,7 @@
-// Package allocation implements the online algorithm of UDRF (section III-C of the UDRF paper): as
-// long as any unit fits on a machine, it starts a unit of the team with the lowest dominant share.
-// It has no state of its own: the same input always gives the same placements.
+// Package allocation implements the online algorithm of section III-C of the UDRF paper, "UDRF:
+// Multi-resource Fairness for Complex Jobs with Placement Constraints" (Tahir, Yang, Koliousis, McCann):
+// as long as any unit fits on a machine, it starts a unit of the team with the lowest dominant share. It
+// has no state of its own: the same input always gives the same placements.
 package allocation
 
 import (
@@ -178,7 +179,8 @@
 	return nil
 }
 
-// book records the placement of one task on each of the chosen machines.
+// book updates the unit, the machines and the team after one task was placed on each of the chosen
+// machines.
 func (t *teamState) book(u *Unit, chosen []*Machine, capacity map[string]Resources) {
 	u.Count -= len(chosen)
 	for _, machine := range chosen {
@@ -216,10 +218,10 @@
 // largest is the largest unit that unfinished jobs may request, by class: smaller units
 // avoid the machines that it needs. Run changes Free, Busy, Booked, Count and PlacedByZone.
 //
-// If a team's next unit fits on no machine, the team continues with its next unit that may still
-// fit (see knownNotToFit); a team without such a unit is skipped. Teams below their guarantee
-// come before all others (see rank): if the lowest share alone decided, they could remain below
-// it when capacity is short.
+// If a team's next unit fits on no machine, the team continues with its next unit that may still fit
+// (see knownNotToFit); a team without such a unit is skipped. Teams below their guarantee come before
+// all others (see rank): if the lowest share alone decided, such teams could remain below their
+// guarantee when capacity is short.
 func Run(teams []*Team, machines []*Machine, capacity, largest map[string]Resources) []Placement {
 	var placements []Placement
 	var states []*teamState
--- a/internal/allocation/placement.go
+++ b/internal/allocation/placement.go
@@ -9,8 +9,8 @@
 // for the unit to prefer other classes.
 const largeUnitFactor = 3
 
-// maxFetchFraction is the part of a start target that fetching the image may take. The rest
-// is for slower fetches and for delivering the order to the machine.
+// maxFetchFraction is the fraction of a start target that fetching the image may take. The rest is for
+// slower fetches and for delivering the order to the machine.
 const maxFetchFraction = 0.6
 
 // placeUnit allocates resources for one task of a unit, or for all tasks of a gang, and
--- a/internal/allocation/preemption.go
+++ b/internal/allocation/preemption.go
@@ -16,19 +16,18 @@
 	LowPriority bool // may be preempted by urgent units of other teams
 }
 
-// Preemption lists the victims, which are the tasks to stop on a machine so that one task of the
-// unit, or a part of a gang, fits there.
+// Preemption lists the victims on one machine: the tasks to stop so that one task of Unit fits there, or
+// some tasks of it if Unit is a gang.
 type Preemption struct {
 	Unit    *Unit
 	Machine *Machine
 	Victims []Preemptible
 }
 
-// Preempt chooses the tasks that teams must stop for other teams' units. It is called after
-// Run, which has placed what fits. A unit within its team's guarantee may preempt the tasks of
-// teams that exceed their guarantees (deployment page: what is borrowed must be returned). An
-// urgent unit may also preempt low-priority tasks of such teams when it is beyond its own team's
-// guarantee.
+// Preempt chooses the tasks that teams must stop for other teams' units. It is called after Run, which
+// has placed what fits. A unit within its team's guarantee may preempt the tasks of teams that exceed
+// their guarantees, because borrowed resources must be returned. An urgent unit may also preempt
+// low-priority tasks of such teams when it is beyond its own team's guarantee.
 //
 // pending is the number of tasks of each job for which resources are already being freed.
 // Preempt chooses at most maxMachines machines, or all machines of one gang if that gang alone
@@ -105,8 +104,8 @@
 	p.results = append(p.results, chosen)
 }
 
-// preemptForTasks preempts for the tasks of a unit that is not a gang, one task at a time. It
-// returns the team's total including the tasks that it has tried to serve.
+// preemptForTasks chooses victims for the tasks of a unit that is not a gang, one task at a time. It
+// returns the resources that the team uses, including those of the tasks that it has processed.
 func (p *preemptor) preemptForTasks(t *Team, u *Unit, total Resources) Resources {
 	for n := u.Count; n > 0 && len(p.results) < p.maxMachines; n-- {
 		withinGuarantee := t.withinGuarantee(total, u.Need)
@@ -127,8 +126,8 @@
 	return total
 }
 
-// preemptForGang preempts for a whole gang. It returns the team's total, which includes the
-// gang if the gang may preempt.
+// preemptForGang chooses victims for a whole gang, or none. It returns the resources that the team uses,
+// including those of the gang if the gang may preempt.
 func (p *preemptor) preemptForGang(t *Team, u *Unit, total Resources) Resources {
 	withinGuarantee := t.withinGuarantee(total, u.startNeed())
 	if !(withinGuarantee || u.Urgent) || u.Count <= 0 || !t.underLimit(total, u.startNeed()) {
@@ -233,8 +232,8 @@
 	return best
 }
 
-// chooseGangPreemptionInZone is chooseGangPreemption for the unit's current Zone. It also
-// returns the cost in CPUs.
+// chooseGangPreemptionInZone chooses the machines as chooseGangPreemption does, but only for the unit's
+// current Zone. It also returns the cost in CPUs.
 func chooseGangPreemptionInZone(u *Unit, machines []*Machine, candidates map[*Machine][]Preemptible, may mayPreempt) ([]Preemption, float64) {
 	var usable []*gangMachine
 	taskCapacity := 0
--- a/internal/authority/renewal.go
+++ b/internal/authority/renewal.go
@@ -1,5 +1,5 @@
-// Package authority decides which actions a controller may take, given what it currently knows, and
-// returns the reason for each decision. It is pure: the time, the controller's information and the
+// Package authority decides which actions a controller may take, from its current information, and
+// returns the reason for each decision. It has no state: the time, the controller's information and the
 // age of that information are inputs.
 //
 // The package decides whether a worker's heartbeat may be answered with 200. Such an answer renews
@@ -49,8 +49,8 @@
 	Now time.Duration
 	// AnswerDeadline is the time from which the controller may not answer workers at all.
 	AnswerDeadline time.Duration
-	// MaxStaleness is the longest time after the confirmation of a cancellation at which a worker
-	// that may run the job's tasks may still be renewed. Its lease then ends in time.
+	// MaxStaleness is how long after the confirmation of a cancellation a worker that may run the job's
+	// tasks may still be renewed. With a later renewal, the worker's lease would end too late.
 	MaxStaleness time.Duration
 	// MustStop are the attempts on the machine that must end: attempts of cancelled jobs and of
 	// jobs unknown to the controller.
@@ -65,7 +65,8 @@
 // Reason is why a renewal is allowed or withheld.
 type Reason string
 
-// Reasons.
+// Reasons for a decision. With the first three, the lease is renewed; with the others, the renewal is
+// withheld.
 const (
 	NothingCancelled Reason = "nothing cancelled"
 	AllStopped       Reason = "cancelled tasks are stopped"
@@ -106,7 +107,9 @@
 // Rules is the RenewalPolicy that implements the rules of the protocol.
 type Rules struct{}
 
-// DecideRenewal implements RenewalPolicy.
+// DecideRenewal implements RenewalPolicy. Each order that may start a cancelled task limits the deadline
+// of the renewal. If only the deadlines set by earlier owners' orders have passed, DecideRenewal
+// requires a fence first: after the fence, the worker refuses these orders.
 func (Rules) DecideRenewal(input RenewalInput) Decision {
 	decision := Decision{Renew: true, Reason: NothingCancelled, Deadline: input.AnswerDeadline}
 	for _, a := range input.MustStop {
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -51,7 +51,7 @@
 	foreignArrivals                               map[string]time.Duration
 	nextArrivalQuery                              time.Duration
 
-	jobsChanged bool // inputs of jobs' Active and Frozen may have changed
+	jobsChanged bool // the jobs' Active and Frozen must be recomputed
 	// reported and reportedAttempts are scratch maps that reconcile reuses for each task list.
 	reported         map[attemptKey]bool
 	reportedAttempts map[uint64]bool
@@ -158,8 +158,8 @@
 	}
 	maxStaleness := ownership.MaxStaleness(limits.Seconds(cluster.Workers.CancelS), limits.Seconds(cluster.Workers.LeaseS))
 	c.ownership = ownership.New(settings.Label, others, incarnation, now.Steady, maxStaleness, c.store, c.log)
-	c.jobs = jobs.New(c.store, c.ownership.Guard, c.ownership.Format, c.log)
-	c.machineTable = statestore.NewRecordTable(c.store, keyMachines, c.ownership.Guard, c.applyMachineRecord)
+	c.jobs = jobs.New(c.store, c.ownership.OwnerGuard, c.ownership.RecordFormat, c.log)
+	c.machineTable = statestore.NewRecordTable(c.store, keyMachines, c.ownership.OwnerGuard, c.applyMachineRecord)
 	c.pool = workers.New(cluster.Workers.LeaseS, cluster.Workers.HeartbeatS)
 	c.fleet = fleet.New(cluster.Cloud.RPS, cluster.Cloud.ListLagS, rentalPrefix(settings.Label, incarnation), c.log)
 	c.linkMonitor = newLinkMonitor(settings.Label, incarnation, operator.Reachability, now.Steady)
@@ -205,12 +205,12 @@
 		return c.takeOutputs()
 	case StoreReply:
 		c.recordStoreLatency(event)
-		c.store.Reply(steady, event.ID, event.Status, event.Body)
+		c.store.HandleReply(steady, event.ID, event.Status, event.Body)
 	case DirectReply:
 		c.handleDirectReply(event)
 		return c.takeOutputs()
 	case CloudReply:
-		c.fleet.Reply(steady, event.ID, event.Status, event.Body)
+		c.fleet.HandleReply(steady, event.ID, event.Status, event.Body)
 		c.fleetChanged = true
 	case PeerReply:
 		c.handlePeerReply(event)
@@ -221,10 +221,10 @@
 	return c.takeOutputs()
 }
 
-// resumeAfterPause restarts the timers for silence and planning when the process resumes at now
-// after a pause. Messages that arrived during the pause are still unread, so the silence of workers
-// and peers proves nothing yet. Without this function, a resumed node would at once return machines
-// to the cloud and hand over its classes.
+// resumeAfterPause restarts the timers for silence and planning when the process resumes at now after a
+// pause. Messages that arrived during the pause are still unread, so the silence of workers and peers
+// does not show that they failed. Without this function, a resumed node would at once return machines to
+// the cloud and hand over its classes.
 func (c *Core) resumeAfterPause(now time.Duration) {
 	c.log(slog.LevelInfo, "stood still", "for", now-c.now.Steady)
 	c.linkMonitor.recordPause(now - c.now.Steady)
@@ -261,7 +261,7 @@
 	c.divideBudget()
 	c.ownership.Tick(now, c.fleet.Classes(), c.demand)
 	if c.workersUnreachable() {
-		c.ownership.Handover(c.reachableSuccessor())
+		c.ownership.HandOver(c.reachableSuccessor())
 		c.handedOverAt = now
 	}
 	c.applyClaims()
@@ -304,7 +304,8 @@
 	}
 }
 
-// age returns the time since a Unix time, at least 0: the clocks of machines differ.
+// age returns the time since a Unix time. It returns 0 for a time in the future, which is possible
+// because the clocks of controllers differ.
 func (c *Core) age(unix float64) time.Duration {
 	return limits.Seconds(max(0, c.now.Unix-unix))
 }
--- a/internal/controller/core_fault_test.go
+++ b/internal/controller/core_fault_test.go
@@ -33,13 +33,13 @@
 	}))
 	defer state.Close()
 	server := newManualServer(t, state.Listener.Addr().String())
-	handleReply := func() { server.handle(waitForStoreReply(t, server)) }
+	handleReply := func() { server.handleEvent(waitForStoreReply(t, server)) }
 
-	server.handle(inboxEvent{input: Tick{}})
+	server.handleEvent(inboxEvent{input: Tick{}})
 	releaseEarlier := <-pendingReads
 	server.core.jobs = nil // makes the next step panic
-	server.handle(inboxEvent{input: Tick{}})
-	server.handle(inboxEvent{input: Tick{}})
+	server.handleEvent(inboxEvent{input: Tick{}})
+	server.handleEvent(inboxEvent{input: Tick{}})
 	releaseCurrent := <-pendingReads
 
 	close(releaseEarlier)
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -244,9 +244,9 @@
 	}
 	openJob("job-2", 16, "large")
 	largeUnit := &allocation.Unit{Job: "job-2", Need: allocation.Resources{CPUs: 16}, Count: 5, Classes: map[string]bool{"large": true}}
-	plan := &rentalPlan{counts: map[fleet.Kind]int{}, refusedUnits: []*allocation.Unit{largeUnit}}
+	plan := &rentalPlan{countByKind: map[fleet.Kind]int{}, refusedUnits: []*allocation.Unit{largeUnit}}
 	core.rentForSmallTasks(plan, nil)
-	if count := plan.counts[fleet.Kind{Class: "small", Zone: "a", Spot: true}]; count != 2 {
+	if count := plan.countByKind[fleet.Kind{Class: "small", Zone: "a", Spot: true}]; count != 2 {
 		t.Errorf("%d small machines planned for the 16 CPUs that small tasks use, want 2", count)
 	}
 	idle := core.pool.GetOrAdd("i-2", "small", "a", true, 0)
@@ -262,7 +262,7 @@
 	if returned() {
 		t.Error("an idle machine that keeps small tasks off scarce machines was returned")
 	}
-	core.rentForSmallTasks(&rentalPlan{counts: map[fleet.Kind]int{}}, nil)
+	core.rentForSmallTasks(&rentalPlan{countByKind: map[fleet.Kind]int{}}, nil)
 	if !returned() {
 		t.Error("an idle machine is kept although no task waits for scarce machines")
 	}
--- a/internal/controller/direct.go
+++ b/internal/controller/direct.go
@@ -45,10 +45,11 @@
 
 // sendDirectLaunches sends planned launches to their machines at once, up to
 // limits.MaxDirectOrdersInFlight orders at a time. The remaining launches wait until one of these orders
-// is answered, or for the machine's next heartbeat. Unlike an answer to a heartbeat, a direct order
-// may be executed at any later time at which its fencing token and worker incarnation are still the
-// current ones. So until the order is answered, a heartbeat that lacks its attempts proves nothing,
-// and an order that is never answered may take effect as long as the worker's incarnation lasts.
+// is answered, or for the machine's next heartbeat. Unlike an answer to a heartbeat, a direct order may
+// be executed at any later time at which its fencing token and worker incarnation are still the current
+// ones. So until the order is answered, a heartbeat that does not list its attempts does not prove that
+// they will not start, and an order that is never answered may take effect as long as the worker's
+// incarnation lasts.
 func (c *Core) sendDirectLaunches() {
 	sent := 0
 	for _, machineID := range c.plannedMachines {
@@ -66,7 +67,7 @@
 // mayOrderDirectly reports whether the launches planned for a machine may be sent in a direct
 // order.
 func (c *Core) mayOrderDirectly(machine *workers.Machine, load *machineLoad) bool {
-	if machine == nil || load == nil || load.plannedCount == 0 || machine.DirectInFlight || machine.Address == "" {
+	if machine == nil || load == nil || load.plannedCount == 0 || machine.DirectOrderInFlight || machine.Address == "" {
 		return false
 	}
 	silence := c.now.Steady - machine.LastHeartbeat
@@ -93,11 +94,11 @@
 	if len(commands) == 0 {
 		return
 	}
-	machine.DirectInFlight = true
+	machine.DirectOrderInFlight = true
 	c.lastDirectCallID++
 	c.directCalls[c.lastDirectCallID] = call
-	orders := wire.DirectOrder{FencingToken: machine.Term, Incarnation: machine.Incarnation, Commands: commands}
-	c.outputs = append(c.outputs, DirectCall{ID: c.lastDirectCallID, Address: machine.Address, Body: orders, Until: c.ownership.AnswerDeadline()})
+	order := wire.DirectOrder{FencingToken: machine.Term, Incarnation: machine.Incarnation, Commands: commands}
+	c.outputs = append(c.outputs, DirectCall{ID: c.lastDirectCallID, Address: machine.Address, Body: order, Until: c.ownership.AnswerDeadline()})
 }
 
 // handleDirectReply processes the outcome of a direct order.
@@ -116,7 +117,7 @@
 	}
 	machine := c.pool.Machines[call.machine]
 	if machine != nil {
-		machine.DirectInFlight = false
+		machine.DirectOrderInFlight = false
 	}
 	switch {
 	case machine == nil:
@@ -198,7 +199,7 @@
 		if c.probesInFlight >= limits.MaxProbesInFlight {
 			return
 		}
-		if machine.DirectInFlight || machine.Deleting || machine.LeaseExpired || machine.Address == "" || now < machine.NextProbe || now-machine.LastHeartbeat <= c.pool.HeartbeatInterval*5/4+limits.ProbeSlack {
+		if machine.DirectOrderInFlight || machine.Deleting || machine.LeaseExpired || machine.Address == "" || now < machine.NextProbe || now-machine.LastHeartbeat <= c.pool.HeartbeatInterval*5/4+limits.ProbeSlack {
 			continue
 		}
 		machine.NextProbe = now + limits.ProbeInterval
@@ -210,7 +211,7 @@
 // out late and more than once), or no commands at all. The answer lists the machine's tasks.
 func (c *Core) sendUntrackedOrder(machine *workers.Machine, incarnation uint64, commands []wire.Command) {
 	term := c.activeTerms[machine.Class]
-	machine.DirectInFlight = true
+	machine.DirectOrderInFlight = true
 	c.probesInFlight++
 	c.lastDirectCallID++
 	c.directCalls[c.lastDirectCallID] = &directCall{machine: machine.ID, incarnation: incarnation, term: term, probe: true}
@@ -245,7 +246,7 @@
 	if !c.pool.ReceiveProbeReply(c.now.Steady, machine, heartbeat, call.term, call.incarnation) {
 		return
 	}
-	// Without this, a new owner would treat a machine that answered its probe as one that never
+	// Without this update, a new owner would treat a machine that answered its probe as one that never
 	// came up, and return it together with its tasks.
 	if rental := c.fleet.Track(machine.ID, rentalKind(machine), c.now.Steady); rental != nil {
 		rental.Up = true
@@ -281,10 +282,10 @@
 	return commands
 }
 
-// mayClear reports whether the worker may forget an ended attempt. A direct order that is carried
-// out late or twice, after the clear, would start the attempt again, perhaps while the task runs on
-// another machine. A completed task that is started again exits at once, so a completed attempt
-// needs to be kept only while its order is unanswered or if the job is cancelled.
+// mayClear reports whether the worker may remove an ended attempt from its task list. A direct order
+// that is carried out late or twice, after the clear, would start the attempt again, possibly while the
+// task runs on another machine. A completed task that is started again exits at once, so a completed
+// attempt needs to be kept only while its order is unanswered or if the job is cancelled.
 func (c *Core) mayClear(machine *workers.Machine, job *jobs.Job, status wire.TaskStatus) bool {
 	order := machine.Orders[status.Attempt]
 	if order == nil {
--- a/internal/controller/earlier_orders_test.go
+++ b/internal/controller/earlier_orders_test.go
@@ -283,7 +283,7 @@
 	owner.sendLaunchOrder(true)
 	owner.advanceWithCancellations(owner.core.ownership.MaxStaleness+2*time.Second, "job-000002")
 	clear(owner.machine.Orders)
-	owner.machine.DirectInFlight = false
+	owner.machine.DirectOrderInFlight = false
 	if answers := answersOf(owner.sendHeartbeatWithToken(owner.machine.Term - 1)); len(answers) != 1 || answers[0].Status != 200 {
 		t.Errorf("lease not renewed at once: %+v", answers)
 	}
--- a/internal/controller/fences.go
+++ b/internal/controller/fences.go
@@ -30,7 +30,7 @@
 // heartbeat and its answer; no controller records the task, and it runs for a whole lease.
 func (c *Core) holdForFence(request HeartbeatRequest, machine *workers.Machine, decision authority.Decision) {
 	if earlier := c.heldHeartbeats[machine.ID]; earlier != nil {
-		c.refuseHeartbeat(earlier.request) // the worker has given up waiting for this answer
+		c.refuseHeartbeat(earlier.request) // the worker no longer waits for this answer
 	}
 	c.renewalCounts.FenceHeld++
 	c.log(slog.LevelDebug, "renewal waits for a fence", "machine", machine.ID, "session", machine.Incarnation, "term", machine.Term, "token", request.Heartbeat.FencingToken, "job", decision.CauseJob)
@@ -68,8 +68,8 @@
 	}
 	c.lastDirectCallID++
 	c.directCalls[c.lastDirectCallID] = call
-	orders := wire.DirectOrder{FencingToken: call.term, Incarnation: call.incarnation, Commands: []wire.Command{}}
-	c.outputs = append(c.outputs, DirectCall{ID: c.lastDirectCallID, Address: machine.Address, Body: orders, Until: c.ownership.AnswerDeadline()})
+	order := wire.DirectOrder{FencingToken: call.term, Incarnation: call.incarnation, Commands: []wire.Command{}}
+	c.outputs = append(c.outputs, DirectCall{ID: c.lastDirectCallID, Address: machine.Address, Body: order, Until: c.ownership.AnswerDeadline()})
 }
 
 // handleFenceReply processes the outcome of a fence.
@@ -126,9 +126,9 @@
 	}
 }
 
-// refuseHeldHeartbeat answers the held heartbeat of a machine, if there is one, with 503. It is
-// also called when this node releases the class. Without that call, once this node owns the class
-// again, it would send the machine fences without a term for the old heartbeat.
+// refuseHeldHeartbeat answers the held heartbeat of a machine, if there is one, with 503. It is also
+// called when this node releases the class. Without that call, once this node owned the class again, it
+// would still send fences for the old heartbeat, with a term of 0.
 func (c *Core) refuseHeldHeartbeat(machineID string) {
 	held := c.heldHeartbeats[machineID]
 	if held == nil {
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -32,7 +32,7 @@
 // limitGangUnit sets a unit's task count and the machines to avoid for a gang. It reports
 // whether the gang may be placed now.
 func (c *Core) limitGangUnit(unit *allocation.Unit, job *jobs.Job, endedTaskMachines map[string][]string) bool {
-	unit.Gang, unit.Count = true, job.Waiting()
+	unit.Gang, unit.Count = true, job.WaitingCount()
 	if job.GangRun.Ending || job.GangRun.StoppedAt > 0 || (job.GangRun.Started && unit.Count > 0) {
 		return false
 	}
@@ -105,10 +105,10 @@
 // recordGangTaskStatus processes the status of a gang's task from a machine's heartbeat.
 func (c *Core) recordGangTaskStatus(job *jobs.Job, status wire.TaskStatus) {
 	if job.GangRun.Attempt == 0 {
-		return // adoptGang adopts the attempt once the tasks of all machines are known
+		return // adoptGangAttempt adopts the attempt once the tasks of all machines are known
 	}
 	if status.Attempt != job.GangRun.Attempt {
-		c.endGang(job, gangMixedAttempts)
+		c.endGangAttempt(job, gangMixedAttempts)
 	} else if status.State == wire.TaskRunning || status.State == wire.TaskSaving {
 		job.GangRun.Started = true
 	}
@@ -125,7 +125,7 @@
 	}
 	job.GangRun.LeftMachines[assignment.Machine] = true
 	if job.GangRun.Started && job.GangRun.StoppedAt == 0 {
-		c.endGang(job, gangTaskLost)
+		c.endGangAttempt(job, gangTaskLost)
 	}
 }
 
@@ -145,12 +145,12 @@
 	case status.Cause == wire.CauseHalted && job.GangRun.StoppedAt > 0:
 		// The task saved and stopped as ordered; the other tasks are still saving.
 	default:
-		c.endGang(job, gangEndReason(status.Cause))
+		c.endGangAttempt(job, gangEndReason(status.Cause))
 	}
 }
 
-// endGang ends a gang's attempt: it drops planned tasks and stops the launched ones.
-func (c *Core) endGang(job *jobs.Job, reason gangEndReason) {
+// endGangAttempt ends a gang's attempt: it drops planned tasks and stops the launched ones.
+func (c *Core) endGangAttempt(job *jobs.Job, reason gangEndReason) {
 	if job.GangRun.Ending || job.GangRun.Attempt == 0 {
 		return
 	}
@@ -173,7 +173,7 @@
 		return
 	}
 	if !job.GangRun.Started {
-		c.endGang(job, gangMachineLeaves)
+		c.endGangAttempt(job, gangMachineLeaves)
 		return
 	}
 	job.GangRun.StoppedAt = c.now.Steady
@@ -219,13 +219,13 @@
 	}
 }
 
-// mayStopDirectly reports whether stop commands may be sent to a machine as direct orders. When
-// the owner gives up a class, its gangs' tasks are unassigned. Without the check that the class is
-// owned, the resulting stop commands would be sent without a term.
+// mayStopDirectly reports whether stop commands may be sent to a machine as direct orders. When this
+// node stops acting for a class, its gangs' tasks are unassigned. Without the check that the class is
+// owned, the resulting stop commands would be sent with a term of 0.
 func (c *Core) mayStopDirectly(machine *workers.Machine) bool {
 	_, owned := c.activeTerms[machine.Class]
 	reachable := machine.Adopted && !machine.LeaseExpired && !machine.Deleting && machine.Address != ""
-	return owned && reachable && !machine.DirectInFlight && c.probesInFlight < limits.MaxProbesInFlight
+	return owned && reachable && !machine.DirectOrderInFlight && c.probesInFlight < limits.MaxProbesInFlight
 }
 
 // updateGangs adopts attempts that earlier owners started, ends attempts that take too long to
@@ -242,10 +242,10 @@
 	for _, jobID := range jobIDs {
 		job := c.jobs.Open[jobID]
 		if job.GangRun.Attempt == 0 && len(job.Assigned) > 0 {
-			c.adoptGang(job)
+			c.adoptGangAttempt(job)
 		}
 		if job.GangRun.StoppedAt > 0 && steadyNow > job.GangRun.StoppedAt+limits.Seconds(c.settings.Cluster.Workers.GangPeerS+job.SaveS)+c.pool.HeartbeatInterval*5/4+limits.GangStopSlack {
-			c.endGang(job, gangStopTimeout)
+			c.endGangAttempt(job, gangStopTimeout)
 		}
 		if job.GangRun.Attempt != 0 && len(job.Assigned) == 0 {
 			job.GangRun = jobs.GangRun{}
@@ -254,10 +254,10 @@
 	}
 }
 
-// adoptGang adopts an attempt of an earlier owner. If the attempt was being stopped, the
-// stop commands are sent again. If tasks are missing and none has run yet, the missing tasks are
-// launched under the same attempt number. An attempt that can't continue is ended.
-func (c *Core) adoptGang(job *jobs.Job) {
+// adoptGangAttempt adopts an attempt of an earlier owner. If the attempt was being stopped, the stop
+// commands are sent again. If tasks are missing and none has run yet, the missing tasks are launched
+// under the same attempt number. An attempt whose missing tasks can't be launched any more is ended.
+func (c *Core) adoptGangAttempt(job *jobs.Job) {
 	mixed, saving := false, false
 	for _, task := range job.AssignedTasks() {
 		assignment := job.Assigned[task]
@@ -270,27 +270,27 @@
 	}
 	switch complete := len(job.Assigned) == job.Tasks; {
 	case mixed:
-		c.endGang(job, gangMixedAttempts)
+		c.endGangAttempt(job, gangMixedAttempts)
 	case saving:
-		// Without this case, progress is lost although a part of the gang saved: the earlier
-		// owner may have stopped only some of the tasks.
+		// The earlier owner may have ordered only some of the tasks to save and stop. Without this case,
+		// the progress would be lost although these tasks saved it.
 		job.GangRun.StoppedAt = c.now.Steady
 		c.sendGangStops(job, "")
 	case complete:
-	case job.GangRun.Started || !c.canCompleteGang(job):
-		c.endGang(job, gangIncomplete)
+	case job.GangRun.Started || !c.canCompleteGangAttempt(job):
+		c.endGangAttempt(job, gangIncomplete)
 	default:
 		c.schedulingDue = true
-		c.log(slog.LevelInfo, "gang attempt is completed", "job", job.ID, "attempt", job.GangRun.Attempt, "missing", job.Waiting())
+		c.log(slog.LevelInfo, "gang attempt is completed", "job", job.ID, "attempt", job.GangRun.Attempt, "missing", job.WaitingCount())
 	}
 }
 
-// canCompleteGang reports whether the missing tasks of an attempt that an earlier owner started
-// may still be launched under its number. The locations of the other tasks are known: every
-// machine was resolved under this owner's term, so no order of the earlier owner can start a
-// task any more. No task has waited for its peers longer than the job's age, so none is about
-// to time out while the job is young.
-func (c *Core) canCompleteGang(job *jobs.Job) bool {
+// canCompleteGangAttempt reports whether the missing tasks of an attempt that an earlier owner started
+// may still be launched under its number. The locations of the other tasks are known: every machine was
+// resolved under this owner's term, so no order of the earlier owner can start a task any more. No task
+// has waited for its peers longer than the job's age, so none is about to time out while the job is
+// young.
+func (c *Core) canCompleteGangAttempt(job *jobs.Job) bool {
 	for _, machine := range c.pool.Machines {
 		for _, t := range machine.Tasks {
 			if jobID, _ := jobs.SplitTaskID(t.Task); jobID == job.ID && t.Attempt == job.GangRun.Attempt && t.State == wire.TaskEnded {
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -59,7 +59,7 @@
 	if machine := c.pool.Machines[heartbeat.Machine]; machine != nil {
 		wasAdopted, wasRecalled, alreadyReported = machine.Adopted, machine.RecallAt != 0, machine.Term == term
 	}
-	machine, verdict = c.pool.Receive(c.now.Steady, heartbeat, term, c.ownership.Claims()[heartbeat.Type].Since)
+	machine, verdict = c.pool.ReceiveHeartbeat(c.now.Steady, heartbeat, term, c.ownership.Claims()[heartbeat.Type].Since)
 	if verdict == workers.Stale || verdict == workers.Deposed {
 		return machine, verdict
 	}
@@ -88,9 +88,9 @@
 // the answer to a direct order.
 func (c *Core) reconcile(machine *workers.Machine, commands []wire.Command, direct bool) []wire.Command {
 	mayLaunch := c.ownership.MayLaunch()
-	// The key includes the attempt number. Without it, an ended attempt that waits to be cleared
-	// would be mistaken for a later attempt whose launch was lost, and the task would never be
-	// launched again.
+	// The key includes the attempt number. Without the number, an ended attempt that waits to be cleared
+	// would be mistaken for a later attempt whose launch was lost, and the task would never be launched
+	// again.
 	reported := c.reported
 	clear(reported)
 	clear(c.reportedAttempts)
@@ -111,19 +111,19 @@
 			commands = append(commands, wire.Command{Verb: wire.VerbStop, Task: status.Task, Attempt: status.Attempt, GraceS: graceS})
 		}
 	}
-	c.unassignMissing(machine, direct)
+	c.unassignMissingTasks(machine, direct)
 	for number, order := range machine.Orders {
-		if !c.reportedAttempts[number] && order.State != workers.OrderUnanswered && !machine.DirectInFlight {
+		if !c.reportedAttempts[number] && order.State != workers.OrderUnanswered && !machine.DirectOrderInFlight {
 			delete(machine.Orders, number)
 		}
 	}
 	return commands
 }
 
-// unassignMissing removes the assignments to a machine that its newest task list, which reconcile
-// has just processed, proves to be gone: the launch was lost, or the task ended with the worker's
-// incarnation.
-func (c *Core) unassignMissing(machine *workers.Machine, direct bool) {
+// unassignMissingTasks removes the assignments whose attempts are not on the machine any more, according
+// to its newest task list, which reconcile has just processed: the launch was lost, or the task ended
+// with the worker's incarnation.
+func (c *Core) unassignMissingTasks(machine *workers.Machine, direct bool) {
 	load := c.loadOf(machine.ID)
 	var missing []string
 	for taskID, ref := range load.tasks {
--- a/internal/controller/http_api.go
+++ b/internal/controller/http_api.go
@@ -78,7 +78,8 @@
 	s.answerUser(w, answer, ok)
 }
 
-// limitKeepAlive has a user's connection closed after the response if too many connections are open.
+// limitKeepAlive makes the server close a user's connection after the response if too many connections
+// are open.
 func (s *Server) limitKeepAlive(w http.ResponseWriter) {
 	if s.inboundConns.Load() > s.keepAliveLimit {
 		w.Header().Set("Connection", "close")
--- a/internal/controller/knowledge_log.go
+++ b/internal/controller/knowledge_log.go
@@ -13,10 +13,10 @@
 	longest       time.Duration
 }
 
-// recordStoreLatency counts a reply of the state service and logs it if it is slow. The state in a
-// reply may be as old as its call.
+// recordStoreLatency counts a reply of the state service and logs it if it is slow, because the state in
+// a reply may be as old as its call.
 func (c *Core) recordStoreLatency(reply StoreReply) {
-	call, sentAt, ok := c.store.InFlight(reply.ID)
+	call, sentAt, ok := c.store.CallInFlight(reply.ID)
 	if !ok || call.IsWatch() {
 		return
 	}
@@ -30,8 +30,8 @@
 	c.log(slog.LevelDebug, "slow reply of the state service", "method", call.Method, "path", call.Path, "call", reply.ID, "status", reply.Status, "tookS", latency.Seconds())
 }
 
-// cancellationsAge returns the age of this node's view of the cancellations. Only cancellations
-// newer than that may be missing from the view.
+// cancellationsAge returns the age of this node's view of the cancellations. Only cancellations that
+// were confirmed within that time may be missing from the view.
 func (c *Core) cancellationsAge() time.Duration {
 	return c.now.Steady - c.ownership.CancellationsKnownThrough()
 }
--- a/internal/controller/links.go
+++ b/internal/controller/links.go
@@ -116,14 +116,14 @@
 			l.lastPeerCall++
 			call.Number = l.lastPeerCall
 			outputs[i] = call
-			l.monitor.Sent(peerLink(call.Peer), call.Number, now)
+			l.monitor.RecordSent(peerLink(call.Peer), call.Number, now)
 		}
 	}
 }
 
 func (l *linkMonitor) recordSent(id uint64, call pendingCall, now time.Duration) {
 	l.pendingCalls[id] = call
-	l.monitor.Sent(call.link, id, now)
+	l.monitor.RecordSent(call.link, id, now)
 }
 
 // recordInput records the replies and messages that this controller receives.
@@ -139,14 +139,14 @@
 	case PeerReply:
 		link := peerLink(received.Call.Peer)
 		if received.Unanswered {
-			l.monitor.Lost(link, received.Call.Number, now)
+			l.monitor.RecordLost(link, received.Call.Number, now)
 		} else {
-			l.monitor.Answered(link, received.Call.Number, now, false)
+			l.monitor.RecordAnswer(link, received.Call.Number, now, false)
 		}
 	case PeerRequest:
 		l.recordPeerMessage(received.Msg, now)
 	case Submit, Query, Cancel:
-		l.monitor.Received(usersLink, now)
+		l.monitor.RecordReceived(usersLink, now)
 	}
 }
 
@@ -160,10 +160,10 @@
 	}
 	delete(l.pendingCalls, id)
 	if status == statestore.NoAnswer {
-		l.monitor.Lost(call.link, id, now)
+		l.monitor.RecordLost(call.link, id, now)
 		return
 	}
-	l.monitor.Answered(call.link, id, now, status == http.StatusServiceUnavailable && !call.requestsMachine)
+	l.monitor.RecordAnswer(call.link, id, now, status == http.StatusServiceUnavailable && !call.requestsMachine)
 }
 
 // recordPeerMessage records a peer's message that carries a view of the peer's links, and stores the
@@ -175,7 +175,7 @@
 		return
 	}
 	l.monitor.Watch(peerLink(message.From), limits.ViewInterval, 0)
-	l.monitor.Received(peerLink(message.From), now)
+	l.monitor.RecordReceived(peerLink(message.From), now)
 	l.views.Add(*message.View, now)
 }
 
@@ -188,7 +188,7 @@
 	link := workersLink(class, zone)
 	l.workerLinks[link] = true
 	l.monitor.Watch(link, interval, 0)
-	l.monitor.Received(link, now)
+	l.monitor.RecordReceived(link, now)
 }
 
 // suspendUnusedWorkerLinks stops expecting heartbeats from a class and zone in which this
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -144,7 +144,7 @@
 		if _, ok := c.activeTerms[name]; ok && !c.savedTypes[name] && len(txn.Then) < c.store.MaxWrites() {
 			key := keyMachineTypes + name
 			entry, _ := c.store.Mirror.Get(key)
-			txn.Guards = append(txn.Guards, c.ownership.Guard(name), wire.Guard{Key: key, Version: entry.Version})
+			txn.Guards = append(txn.Guards, c.ownership.OwnerGuard(name), wire.Guard{Key: key, Version: entry.Version})
 			txn.Then = append(txn.Then, wire.Op{Key: key, Value: machineType})
 		}
 	}
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -23,7 +23,7 @@
 	for _, machine := range c.pool.Machines {
 		lastHeard = max(lastHeard, machine.LastHeartbeat)
 	}
-	massSilence, mostReported := c.massSilence(), c.mostMachinesReported()
+	massSilence, mostReported := c.isMassSilence(), c.mostMachinesReported()
 	c.probeSilentMachines()
 	for _, machine := range c.pool.Sorted() {
 		if !machine.LeaseExpired && c.pool.Expired(machine, now) {
@@ -113,5 +113,5 @@
 	}
 	machine.Deleting = true
 	c.fleet.Track(machine.ID, rentalKind(machine), machine.LastHeartbeat)
-	c.fleet.Delete(machine.ID, reason)
+	c.fleet.MarkForDeletion(machine.ID, reason)
 }
--- a/internal/controller/peer_messages.go
+++ b/internal/controller/peer_messages.go
@@ -30,9 +30,9 @@
 }
 
 // PeerAnswer is the answer to a PeerMessage. If an extension was requested, it also carries the
-// cancellations that the peer has recorded. Vouch means that Cancelled contains every cancellation
-// that the peer, in this or an earlier incarnation, confirmed to users, and every cancellation that
-// any controller had confirmed to users by the time Behind before the answer.
+// cancellations that the peer has recorded. Vouch means that Cancelled contains every cancellation that
+// the peer, in this or an earlier incarnation, confirmed to users, and every cancellation that any
+// controller had confirmed to users up to Behind before the answer.
 type PeerAnswer struct {
 	Yes       bool
 	Vouch     bool
@@ -94,7 +94,7 @@
 		if job.Faulty() && !job.Cancelled {
 			faulty = append(faulty, id)
 		}
-		count := [2]int{job.DoneCount, job.Running()}
+		count := [2]int{job.DoneCount, job.RunningCount()}
 		current[id] = count
 		if c.sentCounts[id] != count {
 			counts[id] = count
@@ -130,9 +130,10 @@
 	for id, count := range request.Msg.Counts {
 		c.jobs.SetDisplayCounts(id, count[0], count[1])
 	}
-	// Without this, every new owner would start the first wave of a faulty job's tasks again.
+	// Without this exchange, every new owner would launch as many tasks of a faulty job as of any other
+	// job.
 	c.jobs.MarkFaulty(request.Msg.Faulty)
-	c.outputs = append(c.outputs, Answer{Ref: request.Ref, Status: 200, Body: PeerAnswer{Yes: true, Faulty: c.jobs.MarkedFaulty(request.Msg.Faulty)}})
+	c.outputs = append(c.outputs, Answer{Ref: request.Ref, Status: 200, Body: PeerAnswer{Yes: true, Faulty: c.jobs.JobsMarkedFaulty(request.Msg.Faulty)}})
 }
 
 // handlePeerReply processes the result of a message to a peer.
@@ -166,9 +167,9 @@
 	}
 }
 
-// sendCancelNotices sends new cancellations directly to the owners of classes, and repeats them
-// until they are acknowledged. Without this, an owner whose requests the state service refuses
-// would not see the cancellations and would go on starting tasks of those jobs.
+// sendCancelNotices sends new cancellations directly to the owners of classes, and repeats them until
+// they are acknowledged. Without these notices, an owner whose requests the state service refuses would
+// not see the cancellations and would go on starting tasks of those jobs.
 func (c *Core) sendCancelNotices() {
 	now := c.now.Steady
 	if ids := c.jobs.TakeNewCancellations(); len(ids) > 0 {
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -145,5 +145,5 @@
 	if err != nil {
 		s.log.Debug("call to a peer failed", "peer", call.Peer, "error", err)
 	}
-	s.send(inboxEvent{input: PeerReply{Call: call, Answer: answer, Unanswered: err != nil}, caller: caller})
+	s.enqueueEvent(inboxEvent{input: PeerReply{Call: call, Answer: answer, Unanswered: err != nil}, caller: caller})
 }
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -18,11 +18,11 @@
 	tasks     map[string]uint64 // the attempts to be stopped, by task ID
 }
 
-// reservePreempted reserves the machines with preempted tasks for the jobs that wait for them. It
-// removes a preemption when it has expired, when its machine is no longer available, when its job
-// no longer waits, or when enough of the preempted tasks have ended. It returns, by job, the
-// number of machines that are still being freed.
-func (c *Core) reservePreempted(machines []*allocation.Machine, reserved map[string]bool) (pending map[string]int) {
+// reservePreemptedMachines reserves the machines with preempted tasks for the jobs that wait for them.
+// It removes a preemption when it has expired, when its machine is no longer available, when its job no
+// longer waits, or when enough of the preempted tasks have ended. It returns, by job, the number of
+// machines that are still being freed.
+func (c *Core) reservePreemptedMachines(machines []*allocation.Machine, reserved map[string]bool) (pending map[string]int) {
 	pending = map[string]int{}
 	if len(c.preemptions) == 0 {
 		return pending
@@ -33,8 +33,8 @@
 	}
 	tasksLeft := map[string]int{} // number of tasks still to be stopped, by waiting job
 	for machineID, entry := range c.preemptions {
-		beneficiary := c.jobs.Open[entry.job]
-		if machineByID[machineID] == nil || beneficiary == nil || beneficiary.Cancelled || beneficiary.Waiting() <= 0 || c.now.Steady > entry.expiresAt {
+		waitingJob := c.jobs.Open[entry.job]
+		if machineByID[machineID] == nil || waitingJob == nil || waitingJob.Cancelled || waitingJob.WaitingCount() <= 0 || c.now.Steady > entry.expiresAt {
 			delete(c.preemptions, machineID)
 			continue
 		}
@@ -60,10 +60,10 @@
 	return pending
 }
 
-// preemptBorrowed chooses, after an allocation run, the tasks to preempt for units that are
-// entitled to the resources that other teams have borrowed. The replies to heartbeats order the
-// tasks to stop (see mustPreempt).
-func (c *Core) preemptBorrowed(round *schedulingRound, machines []*allocation.Machine, pending map[string]int) {
+// preemptBorrowedResources chooses, after an allocation run, the tasks to preempt for units that are
+// entitled to the resources that other teams have borrowed. The replies to heartbeats order the tasks to
+// stop (see mustPreempt).
+func (c *Core) preemptBorrowedResources(round *schedulingRound, machines []*allocation.Machine, pending map[string]int) {
 	steadyNow := c.now.Steady
 	if steadyNow < c.nextPreemption {
 		return
--- a/internal/controller/renewals.go
+++ b/internal/controller/renewals.go
@@ -36,8 +36,8 @@
 // through renewOrRefuse. Otherwise successive owners may each renew a machine without stopping its
 // tasks, because its heartbeat proves nothing to them yet, and a cancelled task keeps running.
 func (c *Core) renewOrRefuse(request HeartbeatRequest, machine *workers.Machine, verdict workers.Verdict) {
-	renewal := c.buildRenewalInput(machine, request.Heartbeat, verdict)
-	decision := c.renewalRules.DecideRenewal(renewal)
+	input := c.buildRenewalInput(machine, request.Heartbeat, verdict)
+	decision := c.renewalRules.DecideRenewal(input)
 	switch {
 	case decision.FenceFirst:
 		c.holdForFence(request, machine, decision)
@@ -55,13 +55,13 @@
 	if body.Commands == nil {
 		body.Commands = []wire.Command{}
 	}
-	if err := c.renewalRules.CheckAnswer(renewal, body.Commands); err != nil {
+	if err := c.renewalRules.CheckAnswer(input, body.Commands); err != nil {
 		c.renewalCounts.Violations++
 		c.log(slog.LevelError, "renewal withheld: it would leave a cancelled task running", "machine", machine.ID, "session", machine.Incarnation, "term", machine.Term, "error", err)
 		c.refuseHeartbeat(request)
 		return
 	}
-	c.countRenewal(machine, verdict, decision, renewal.MustStop)
+	c.countRenewal(machine, verdict, decision, input.MustStop)
 	// The server checks Until when it sends the answer. Without that check, a node that is paused
 	// between this step and the send would renew the lease too late.
 	c.outputs = append(c.outputs, Answer{Ref: request.Ref, Status: 200, Body: body, Until: decision.Deadline})
@@ -115,17 +115,17 @@
 	if verdict == workers.Overtaken {
 		tasks = machine.Tasks // newer than the heartbeat
 	}
-	renewal := authority.RenewalInput{
+	input := authority.RenewalInput{
 		Now:            c.now.Steady,
 		AnswerDeadline: c.ownership.AnswerDeadline(),
 		MaxStaleness:   c.ownership.MaxStaleness,
-		MustStop:       c.listedToStop(tasks),
+		MustStop:       c.attemptsToStop(tasks),
 		MayStart:       c.possibleStarts(machine, tasks),
 	}
 	if verdict == workers.Unproven {
-		renewal.EarlierOrders = c.earlierOrders(machine, heartbeat.FencingToken)
+		input.EarlierOrders = c.earlierOrders(machine, heartbeat.FencingToken)
 	}
-	return renewal
+	return input
 }
 
 // earlierOrders returns the cancelled jobs for which an earlier owner may have sent the machine an
@@ -139,7 +139,7 @@
 	if !c.machineRecords[machine.ID].Up {
 		return nil
 	}
-	for _, job := range c.jobs.CancelledAfter(token) {
+	for _, job := range c.jobs.JobsCancelledAfter(token) {
 		if job.TypeSet[machine.Class] && (job.Zone == "" || job.Zone == machine.Zone) && (job.Spot || !machine.Spot) {
 			orders = append(orders, authority.EarlierOrder{Job: job.ID, ConfirmedAfter: job.CancelConfirmedAfter})
 		}
@@ -147,9 +147,9 @@
 	return orders
 }
 
-// listedToStop returns the listed attempts that have not ended and must be stopped: those of
-// cancelled jobs, and those that belong to no task of an open job.
-func (c *Core) listedToStop(tasks []wire.TaskStatus) (attempts []authority.Attempt) {
+// attemptsToStop returns the listed attempts that have not ended and must be stopped: those of cancelled
+// jobs, and those that belong to no task of an open job.
+func (c *Core) attemptsToStop(tasks []wire.TaskStatus) (attempts []authority.Attempt) {
 	for _, status := range tasks {
 		if status.State == wire.TaskEnded {
 			continue
--- a/internal/controller/rental_plan.go
+++ b/internal/controller/rental_plan.go
@@ -17,24 +17,24 @@
 	if len(c.fleet.Types) == 0 || !c.fleet.HasFullList {
 		return
 	}
-	c.fleet.DeleteDeadRentals(c.now.Steady-c.lastHeartbeat <= c.maxHeartbeatGap(), c.heartbeatsResumedAt)
+	c.fleet.MarkDeadRentalsForDeletion(c.now.Steady-c.lastHeartbeat <= c.maxHeartbeatGap(), c.heartbeatsResumedAt)
 	c.logUsage()
 	machines, capacity, unresolved := c.availableMachines(true)
 	teams := c.teamDemands(true, unresolved)
 	machines = append(machines, c.bootingMachines()...) // units are placed on them before new machines are rented
-	used := map[string]bool{}
+	machinesInUse := map[string]bool{}
 	for _, placement := range allocation.Run(teams, machines, capacity, c.largestUnits()) {
-		used[placement.Machine.ID] = true
+		machinesInUse[placement.Machine.ID] = true
 	}
-	c.returnIdleMachines(used)
-	plan := &rentalPlan{counts: map[fleet.Kind]int{}}
+	c.returnIdleMachines(machinesInUse)
+	plan := &rentalPlan{countByKind: map[fleet.Kind]int{}}
 	shortfallByJob := c.shortfalls(machines)
 	for _, team := range teams {
 		c.planRentals(plan, team, shortfallByJob)
 	}
 	c.rentForSmallTasks(plan, machines)
-	for _, kind := range sortedKinds(plan.counts) {
-		for count := plan.counts[kind]; count > 0 && c.fleet.MayRent(kind); count -= limits.MaxRentalsPerRequest {
+	for _, kind := range sortedKinds(plan.countByKind) {
+		for count := plan.countByKind[kind]; count > 0 && c.fleet.MayRent(kind); count -= limits.MaxRentalsPerRequest {
 			c.fleet.Rent(kind, count)
 		}
 	}
@@ -44,7 +44,7 @@
 // full capacity.
 func (c *Core) bootingMachines() []*allocation.Machine {
 	var machines []*allocation.Machine
-	booting := c.fleet.Booting()
+	booting := c.fleet.CountBooting()
 	for _, kind := range sortedKinds(booting) {
 		machineType := c.fleet.Types[kind.Class]
 		if _, owned := c.activeTerms[kind.Class]; !owned || machineType == nil {
@@ -57,7 +57,7 @@
 	return machines
 }
 
-// sortedKinds returns the machine kinds of a count in a deterministic order.
+// sortedKinds returns the machine kinds that have a count, ordered by Kind.Less.
 func sortedKinds(counts map[fleet.Kind]int) []fleet.Kind {
 	var kinds []fleet.Kind
 	for kind := range counts {
@@ -162,7 +162,7 @@
 // rentalPlan holds the machines that one fleet planning run wants to rent.
 type rentalPlan struct {
 	rentals       []*allocation.Machine
-	counts        map[fleet.Kind]int
+	countByKind   map[fleet.Kind]int
 	rentedCPUs    float64 // total of the rentals planned for units
 	firstWithRoom int     // rentals before this index can't fit the current unit
 	// refusedUnits lists the units that need more machines to finish on time, but for which none
@@ -170,8 +170,8 @@
 	refusedUnits []*allocation.Unit
 }
 
-// scarceClasses returns the classes that the refused units may use, and the CPUs that these
-// units still need.
+// scarceClasses returns the classes that the units in refusedUnits may use, and the CPUs that these
+// units still need. These classes are scarce: the plan could get no more machines of them.
 func (p *rentalPlan) scarceClasses() (classes map[string]bool, lackedCPUs float64) {
 	classes = map[string]bool{}
 	for _, unit := range p.refusedUnits {
@@ -183,7 +183,7 @@
 	return classes, lackedCPUs
 }
 
-// place puts one task of a unit on a rental that is already planned and reports whether one
+// place puts one task of a unit on a rental that is already planned. It reports whether any such rental
 // had enough free resources.
 func (p *rentalPlan) place(unit *allocation.Unit) bool {
 	for ; p.firstWithRoom < len(p.rentals); p.firstWithRoom++ {
@@ -199,7 +199,7 @@
 // addRental adds a machine to the plan.
 func (p *rentalPlan) addRental(kind fleet.Kind, free allocation.Resources) {
 	p.rentals = append(p.rentals, &allocation.Machine{Class: kind.Class, Zone: kind.Zone, Spot: kind.Spot, Free: free})
-	p.counts[kind]++
+	p.countByKind[kind]++
 }
 
 // rentForSmallTasks plans spot machines for small tasks that occupy scarce classes, which the
@@ -321,14 +321,14 @@
 // existing machines, which can take a part of the gang at best. It ignores the gang's deadline,
 // because no task of a gang can proceed before all tasks have a machine.
 func (c *Core) placeGangOnRentals(gang *allocation.Unit, plan *rentalPlan) bool {
-	rentalsBefore, countsBefore, rentedCPUsBefore := len(plan.rentals), maps.Clone(plan.counts), plan.rentedCPUs
+	rentalsBefore, countsBefore, rentedCPUsBefore := len(plan.rentals), maps.Clone(plan.countByKind), plan.rentedCPUs
 	task := *gang
 	unbounded := shortfall{withMargin: math.Inf(1), onTime: math.Inf(1)}
 	for range gang.Count {
 		plan.firstWithRoom = 0
 		if !c.placeOnRentals(&task, unbounded, plan) {
 			// The rentals added for this gang are dropped, because no other unit requested them.
-			plan.rentals, plan.counts, plan.rentedCPUs = plan.rentals[:rentalsBefore], countsBefore, rentedCPUsBefore
+			plan.rentals, plan.countByKind, plan.rentedCPUs = plan.rentals[:rentalsBefore], countsBefore, rentedCPUsBefore
 			return false
 		}
 		if gang.OneZone && task.Zone == "" && len(plan.rentals) > rentalsBefore {
@@ -338,9 +338,10 @@
 	return true
 }
 
-// idleLimit returns how long a machine of a class may be idle before it is returned to the cloud.
-// Unless the operator sets a time, the limit follows from the boot time of the class: keeping an
-// idle machine for the boot time of its replacement costs at most twice the optimum with hindsight.
+// idleLimit returns how long a machine of a class may be idle before it is returned to the cloud. Unless
+// the operator sets a time, the limit follows from the boot time of the class: keeping an idle machine
+// for the boot time of its replacement costs at most twice as much as the best decision that knows the
+// future demand.
 func (c *Core) idleLimit(class string) time.Duration {
 	if c.operator.IdleReturnS > 0 {
 		return limits.Seconds(c.operator.IdleReturnS)
@@ -353,17 +354,17 @@
 
 // returnIdleMachines returns to the cloud the machines that have been idle for longer than their
 // limit.
-func (c *Core) returnIdleMachines(used map[string]bool) {
+func (c *Core) returnIdleMachines(machinesInUse map[string]bool) {
 	steadyNow := c.now.Steady
 	for _, machine := range c.pool.Sorted() {
 		rental := c.fleet.Rentals[machine.ID]
 		if rental == nil || machine.Deleting || !machine.Adopted {
 			continue
 		}
-		// Classes that can take small tasks off scarce classes keep their idle machines. Without
-		// this rule, hundreds of these machines are returned to the cloud, with the images on them,
-		// and rented again a few seconds later.
-		if c.tasksOn(machine.ID) > 0 || used[machine.ID] || c.gangOnlyMachines[machine.ID] || c.keptIdleClasses[machine.Class] || c.holdsUnstoredResults(machine) {
+		// A class in keptIdleClasses keeps its idle machines, so that small tasks run on them instead of
+		// on scarce classes. Without this rule, hundreds of these machines are returned to the cloud,
+		// with the images on them, and rented again a few seconds later.
+		if c.tasksOn(machine.ID) > 0 || machinesInUse[machine.ID] || c.gangOnlyMachines[machine.ID] || c.keptIdleClasses[machine.Class] || c.holdsUnstoredResults(machine) {
 			rental.IdleSince = 0
 			continue
 		}
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -28,7 +28,7 @@
 	sorted := c.pool.Sorted()
 	machines = make([]*allocation.Machine, 0, len(sorted))
 	onDemand := make([]*allocation.Machine, 0, len(sorted))
-	counts := map[*wire.MachineType]float64{}
+	machineCounts := map[*wire.MachineType]float64{}
 	for _, machine := range sorted {
 		machineType := c.fleet.Types[machine.Class]
 		if machineType == nil {
@@ -39,7 +39,7 @@
 			unresolved = unresolved.Add(typeCapacity(machineType), 1)
 		}
 		if machine.Adopted && !machine.LeaseExpired {
-			counts[machineType]++
+			machineCounts[machineType]++
 		}
 		if !machine.Usable(c.now.Steady, c.pool.HeartbeatInterval) || (!recorded && !forFleetPlan) {
 			continue
@@ -55,7 +55,7 @@
 			onDemand = append(onDemand, view)
 		}
 	}
-	for machineType, count := range counts {
+	for machineType, count := range machineCounts {
 		capacity[machineType.Name] = allocation.Resources{}.Add(typeCapacity(machineType), count)
 	}
 	// Spot machines come first because they are cheaper: the more expensive on-demand machines
@@ -114,7 +114,7 @@
 		}
 		hasRemoteJobs[job.Team] = hasRemoteJobs[job.Team] || !job.Active
 		if job.MayHaveLaunched() && (job.Frozen || !job.Active) {
-			team.Unknown = team.Unknown.Add(taskResources(job), float64(job.Waiting()))
+			team.Unknown = team.Unknown.Add(taskResources(job), float64(job.WaitingCount()))
 		}
 	}
 	for _, team := range teams {
@@ -131,7 +131,7 @@
 // mayStart reports whether a job has waiting tasks that may start now. For fleet planning
 // (forFleetPlan), tasks whose start is delayed count as well.
 func (c *Core) mayStart(job *jobs.Job, forFleetPlan bool) bool {
-	if job.Waiting() <= 0 || job.Cancelled || job.Frozen || c.jobs.Open[job.ID] != job {
+	if job.WaitingCount() <= 0 || job.Cancelled || job.Frozen || c.jobs.Open[job.ID] != job {
 		return false
 	}
 	return forFleetPlan || job.Prepared && c.now.Steady >= job.NotBefore
@@ -139,7 +139,7 @@
 
 // unitOf returns the allocation unit that describes a job's waiting tasks.
 func (c *Core) unitOf(job *jobs.Job) *allocation.Unit {
-	unit := &allocation.Unit{Job: job.ID, Need: taskResources(job), Count: job.Waiting(), Image: job.Image, Classes: job.TypeSet, Shape: job.PlacementKey, Zone: job.Zone, Spot: job.Spot,
+	unit := &allocation.Unit{Job: job.ID, Need: taskResources(job), Count: job.WaitingCount(), Image: job.Image, Classes: job.TypeSet, Shape: job.PlacementKey, Zone: job.Zone, Spot: job.Spot,
 		OneZone: job.OneZone, Spread: job.Spread, Tasks: job.Tasks, StartWithin: c.startWithin(job), ImageGB: job.ImageGB,
 		PreferOnDemand: c.avoidsSpot(job), Urgent: job.Urgency >= wire.UrgencyUrgent, LowPriority: job.Urgency == wire.UrgencyLow}
 	if !job.OneZone && !job.Spread {
@@ -188,8 +188,8 @@
 	// Without this check, a job of a hundred long tasks misses its target when a single task is
 	// lost with its spot machine and has to restart.
 	secondsLeft, canMeetTarget := c.timeLeft(job)
-	longRunS := limits.EstimateErrorFactor * job.EstimateS
-	canRedo := secondsLeft >= 2*longRunS+limits.RedoSlack.Seconds()
+	pessimisticRunS := limits.EstimateErrorFactor * job.EstimateS
+	canRedo := secondsLeft >= 2*pessimisticRunS+limits.RedoSlack.Seconds()
 	return canMeetTarget && !canRedo && 1-math.Pow(1-risk, float64(job.Tasks-job.DoneCount)) > limits.MaxLateRisk
 }
 
@@ -231,9 +231,9 @@
 	newRound := &schedulingRound{teams: c.teamDemands(false, unresolved), capacity: capacity, largest: c.largestUnits()}
 	c.lastRound = newRound
 	newRound.reserved = allocation.ReserveForOverdue(newRound.teams, machines, 1+int(limits.MaxHeldShare*float64(len(machines))))
-	pending := c.reservePreempted(machines, newRound.reserved)
+	pending := c.reservePreemptedMachines(machines, newRound.reserved)
 	c.runAllocation(newRound, machines)
-	c.preemptBorrowed(newRound, machines, pending)
+	c.preemptBorrowedResources(newRound, machines, pending)
 	c.sendDirectLaunches()
 }
 
@@ -287,7 +287,7 @@
 			continue
 		}
 		gangs[job.ID] = append(gangs[job.ID], placement.Machine)
-		if len(gangs[job.ID]) == job.Waiting() {
+		if len(gangs[job.ID]) == job.WaitingCount() {
 			c.placeGang(job, placement.Team, gangs[job.ID])
 		}
 	}
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -139,10 +139,10 @@
 		// submissions would wait behind status queries, which are many times as frequent.
 		select {
 		case event := <-s.inbox:
-			s.handle(event)
+			s.handleEvent(event)
 			continue
 		case <-ticker.C:
-			s.handle(inboxEvent{input: Tick{}})
+			s.handleEvent(inboxEvent{input: Tick{}})
 			s.checkResources()
 			continue
 		default:
@@ -154,21 +154,21 @@
 		case err := <-serveErrors:
 			return fmt.Errorf("serve: %w", err)
 		case event := <-s.inbox:
-			s.handle(event)
+			s.handleEvent(event)
 		case <-ticker.C:
-			s.handle(inboxEvent{input: Tick{}})
+			s.handleEvent(inboxEvent{input: Tick{}})
 			s.checkResources()
 		case event := <-s.queries:
 			// A query whose user has stopped waiting is dropped.
 			if event.ctx.Err() == nil {
-				s.handle(event)
+				s.handleEvent(event)
 			}
 		}
 	}
 }
 
-// handle passes one event to the core and performs the actions that the core returns.
-func (s *Server) handle(event inboxEvent) {
+// handleEvent passes one event to the core and performs the actions that the core returns.
+func (s *Server) handleEvent(event inboxEvent) {
 	// A reply to a call of a core that has been replaced after a fault is dropped. The new core numbers
 	// its calls from the start again, and would take this reply for the reply to one of its own calls.
 	if event.caller != nil && event.caller != s.core {
@@ -193,12 +193,12 @@
 		case StoreCall:
 			go func() {
 				status, body := s.request(s.stateClient, s.settings.External.State, action.Method, action.Path, action.Body, action.Timeout)
-				s.send(inboxEvent{input: StoreReply{action.ID, status, body}, caller: caller})
+				s.enqueueEvent(inboxEvent{input: StoreReply{action.ID, status, body}, caller: caller})
 			}()
 		case CloudCall:
 			go func() {
 				status, body := s.request(s.cloudClient, s.settings.External.Cloud, action.Method, action.Path, action.Body, action.Timeout)
-				s.send(inboxEvent{input: CloudReply{action.ID, status, body}, caller: caller})
+				s.enqueueEvent(inboxEvent{input: CloudReply{action.ID, status, body}, caller: caller})
 			}()
 		case DirectCall:
 			go func() {
@@ -206,7 +206,7 @@
 				if s.now().Steady < action.Until {
 					status, body, unsent = s.doRequest(s.workerClient, action.Address, "POST", "/orders", action.Body, limits.DirectOrderTimeout)
 				}
-				s.send(inboxEvent{input: DirectReply{action.ID, status, body, unsent}, caller: caller})
+				s.enqueueEvent(inboxEvent{input: DirectReply{action.ID, status, body, unsent}, caller: caller})
 			}()
 		case PeerCall:
 			go s.callPeer(action, caller)
@@ -234,8 +234,8 @@
 
 func (s *Server) writeLog(line Log) { s.log.Log(s.ctx, line.Level, line.Msg, line.Args...) }
 
-// send queues an event for the event loop; it reports false if the server stops first.
-func (s *Server) send(event inboxEvent) bool {
+// enqueueEvent queues an event for the event loop; it returns false if the server stops first.
+func (s *Server) enqueueEvent(event inboxEvent) bool {
 	select {
 	case s.inbox <- event:
 		return true
--- a/internal/controller/silence.go
+++ b/internal/controller/silence.go
@@ -81,11 +81,11 @@
 	return upMachines >= limits.MassSilenceMinMachines
 }
 
-// massSilence reports whether many on-demand machines are silent at once. The cloud does not recall
-// on-demand machines, so they are hung or partitioned and may recover, some within their lease, and
-// a deleted machine may be impossible to replace. Without this check, an owner returned half the
-// fleet to the cloud 11 s into such a silence.
-func (c *Core) massSilence() bool {
+// isMassSilence reports whether many on-demand machines are silent at once. The cloud does not recall
+// on-demand machines, so they are hung or partitioned and may recover, some within their lease, and a
+// deleted machine may be impossible to replace. Without this check, an owner would return half the fleet
+// to the cloud 11 s into such a silence.
+func (c *Core) isMassSilence() bool {
 	total, silent := 0, 0
 	for _, machine := range c.pool.Machines {
 		if machine.Spot || machine.Deleting {
@@ -114,11 +114,11 @@
 	return float64(reported) >= limits.TakeoverReportedShare*float64(total)
 }
 
-// presumedDead reports whether a silent machine is to be deleted. The deletion proves sooner than
-// the end of the lease that no task runs on the machine. No machine is presumed dead while all are
-// silent, since the fault then lies with this node. After a takeover, the jobs of the earlier owner
-// wait for every machine, so a machine that has not reported to the new owner when most others have
-// is given up sooner.
+// presumedDead reports whether a silent machine is to be deleted. The deletion proves sooner than the
+// end of the lease that no task runs on the machine. No machine is presumed dead while all machines are
+// silent, because the failure is then on this node's side. After a takeover, the jobs of the earlier
+// owner wait for every machine, so a machine that has not reported to the new owner when most others
+// have is presumed dead sooner.
 func (c *Core) presumedDead(machine *workers.Machine, lastHeard time.Duration, mostReported bool) bool {
 	now := c.now.Steady
 	if now-lastHeard >= 2*c.pool.HeartbeatInterval {
--- a/internal/controller/stepped_owner_test.go
+++ b/internal/controller/stepped_owner_test.go
@@ -116,7 +116,7 @@
 	o.advanceWithCancellations(o.core.ownership.MaxStaleness+2*time.Second, "job-000002")
 	o.markLaunched("job-000002")
 	clear(o.machine.Orders) // the order came from the previous owner
-	o.machine.DirectInFlight = false
+	o.machine.DirectOrderInFlight = false
 }
 
 // markLaunched makes the owner read the record that tasks of a job may have been launched, and update
@@ -146,7 +146,7 @@
 	}
 	job.Active, job.Prepared, job.Frozen = true, true, false
 	// The owner sends the order only if the machine has just sent a heartbeat and no probe is in flight.
-	o.machine.LastHeartbeat, o.machine.LastAnswer, o.machine.DirectInFlight = o.now, o.now, false
+	o.machine.LastHeartbeat, o.machine.LastAnswer, o.machine.DirectOrderInFlight = o.now, o.now, false
 	o.core.assign(job, 0, jobs.Assignment{Machine: o.machine.ID, Attempt: 1 << 50, State: jobs.Planned})
 	o.core.plannedMachines = append(o.core.plannedMachines, o.machine.ID)
 	o.core.sendDirectLaunches()
--- a/internal/controller/task_ends.go
+++ b/internal/controller/task_ends.go
@@ -9,26 +9,26 @@
 	"umberpaddle/internal/workers"
 )
 
-// handleEndedTask processes the end of an attempt, and returns commands, with a clear appended if
-// the worker may forget the attempt. A completion must be durable before that, unless the job is
-// cancelled; other ends have no outcome to store.
+// handleEndedTask processes the end of an attempt, and returns commands, with a clear appended if the
+// worker may remove the attempt from its task list. A completion must be durable before that, unless the
+// job is cancelled; other ends have no outcome to store.
 func (c *Core) handleEndedTask(machine *workers.Machine, job *jobs.Job, taskID string, task int, status wire.TaskStatus, commands []wire.Command, mayClear bool) []wire.Command {
 	mayClear = mayClear && c.mayClear(machine, job, status)
 	if !mayClear {
 		machine.EndedTasks[taskID] = true
 	}
-	forget := false
+	outcomeStored := false
 	switch {
 	case job == nil:
-		forget = c.store.Mirror.Loaded
+		outcomeStored = c.store.Mirror.Loaded
 	case status.Cause == wire.CauseDone:
 		c.handleCompletion(machine, job, task, status)
-		forget = job.IsDurable(task) || job.Cancelled
+		outcomeStored = job.IsDurable(task) || job.Cancelled
 	default:
 		c.handleUnfinishedEnd(machine, job, task, status)
-		forget = true
+		outcomeStored = true
 	}
-	if forget && mayClear {
+	if outcomeStored && mayClear {
 		commands = append(commands, wire.Command{Verb: wire.VerbClear, Task: taskID, Attempt: status.Attempt})
 	}
 	return commands
--- a/internal/controller/usage_log.go
+++ b/internal/controller/usage_log.go
@@ -33,11 +33,11 @@
 	}
 	for _, job := range c.jobs.Open {
 		if job.Active && !job.Cancelled {
-			waiting += float64(job.Waiting()) * job.CPUs
+			waiting += float64(job.WaitingCount()) * job.CPUs
 		}
 	}
 	booting := 0
-	for _, count := range c.fleet.Booting() {
+	for _, count := range c.fleet.CountBooting() {
 		booting += count
 	}
 	c.log(slog.LevelDebug, "use of CPUs", "running", cpusByState[jobs.Running], "fetching", cpusByState[jobs.Fetching], "toldOrPlanned", cpusByState[jobs.Planned]+cpusByState[jobs.Sent],
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -53,7 +53,7 @@
 		c.answer(request.Ref, jobs.RetryLater())
 		return
 	}
-	if submission.Gang && c.ownership.Format() < 2 {
+	if submission.Gang && c.ownership.RecordFormat() < 2 {
 		// A controller of an earlier version would read the gang as an array of independent tasks.
 		c.answer(request.Ref, jobs.RetryLater())
 		return
@@ -67,9 +67,10 @@
 	c.jobs.Submit(c.now.Steady, &job, func(a jobs.Answer) { c.answer(request.Ref, a) })
 }
 
-// refuseIfUnknown refuses a submission permanently, but only after the state service confirms that
-// no such job exists. Without this check, if a job was accepted under other settings or by an
-// earlier version and is not in this node's memory, its repeated submission would be refused.
+// refuseIfUnknown refuses a submission permanently, but only after the state service confirms that no
+// such job exists. Without this check, if a job was accepted under other settings or by an earlier
+// version and is in neither this node's open jobs nor its cache, a repeated submission of the job would
+// be refused.
 func (c *Core) refuseIfUnknown(ref uint64, id string, refusal jobs.Answer) {
 	c.jobs.Query(c.now.Steady, id, func(answer jobs.Answer) {
 		if answer.Status == 404 {
--- a/internal/fleet/deletions_test.go
+++ b/internal/fleet/deletions_test.go
@@ -23,7 +23,7 @@
 		for i := range machines {
 			id := fmt.Sprintf("i-%06d", i)
 			manager.Track(id, Kind{Class: "c", Zone: "z"}, now)
-			manager.Delete(id, ReturnIdle)
+			manager.MarkForDeletion(id, ReturnIdle)
 		}
 		refusals := []int{503, 0}
 		for ; now < time.Minute && len(deleted) < machines; now += 2 * time.Second {
@@ -35,7 +35,7 @@
 				if len(refusals) > 0 {
 					status, refusals = refusals[0], refusals[1:]
 				}
-				manager.Reply(now, call.ID, status, nil)
+				manager.HandleReply(now, call.ID, status, nil)
 			}
 		}
 		if len(deleted) != machines {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,8 +1,8 @@
-// Package fleet rents machines from the cloud and returns them. It reads the
-// cloud's machine types, prices and machine lists, sends rental and deletion
-// requests, and marks machines for deletion that failed, never came up or are no
-// longer listed. It is a state machine without I/O: it returns the calls to make,
-// and receives their replies and the time as arguments.
+// Package fleet rents machines from the cloud and returns them. It reads the cloud's machine
+// types, prices and machine lists, sends rental and deletion requests, and marks for
+// deletion the machines that failed, never came up or are no longer listed. It is a state
+// machine without I/O: it returns the calls to make, and receives their replies and the time
+// as arguments.
 package fleet
 
 import (
@@ -53,14 +53,14 @@
 	ID               string
 	Kind             Kind
 	RentedAt         time.Duration      // when it was rented, on this process's steady clock
-	TrackedSince     time.Duration      // when this process began to wait for its first heartbeat
-	ListedStatus     wire.MachineStatus // its status in the last list that contained it
-	LastListedAt     time.Duration      // when a list last contained it; 0: never
+	TrackedSince     time.Duration      // when this process began to wait for the machine's first heartbeat
+	ListedStatus     wire.MachineStatus // status in the last list that contained the machine
+	LastListedAt     time.Duration      // when a list last contained the machine; 0: never
 	Up               bool               // its worker has sent a heartbeat to this process or answered its probe
 	WasUp            bool               // it was up under an earlier owner
-	Deleting         bool               // marked for deletion; removed once the cloud confirms it
-	deletionInFlight bool               // a deletion request for it has no reply yet
-	IdleSince        time.Duration      // when it was first found idle; 0: it is not idle
+	Deleting         bool               // marked for deletion; removed once the cloud confirms the deletion
+	deletionInFlight bool               // a deletion request for the machine has no reply yet
+	IdleSince        time.Duration      // when the machine was first found idle; 0: not idle
 }
 
 // Manager holds the rented machines, and the calls to the cloud that are in
@@ -75,7 +75,7 @@
 	requestCount    uint64
 	replyHandlers   map[uint64]func(status int, body []byte)
 	lastCallID      uint64
-	outgoing        []Call
+	outgoingCalls   []Call
 	pausedUntil     time.Duration
 	listLag         time.Duration
 
@@ -89,25 +89,25 @@
 	// spot machines ran. Both decay exponentially, so that their ratio follows the
 	// recent rate of losses per hour.
 	spotLosses, spotHours float64
-	riskUpdatedAt         time.Duration
+	spotRiskUpdatedAt     time.Duration
 
 	Types   map[string]*wire.MachineType
 	Rentals map[string]*Rental
 	// deletionsPending: some machines marked for deletion may have no deletion
 	// request in flight.
-	deletionsPending bool
-	backoffUntil     map[Kind]time.Duration    // when a kind may be requested again after a refusal
-	inFlight         map[Kind]int              // machines in rental requests without a reply yet
-	unconfirmed      map[string]*rentalRequest // rental requests to retry, by request name
-	nextTypesAt      time.Duration
-	readingTypes     bool
-	nextListAt       time.Duration
-	readingList      bool
-	HasFullList      bool                          // a complete list has been read since New
-	partialList      map[string]wire.ListedMachine // the pages read so far of the list being read
-	listStartedAt    time.Duration
-	OnDeleted        func(id string) // called when the cloud has confirmed a deletion
-	deletedAt        map[string]time.Duration
+	deletionsPending    bool
+	backoffUntil        map[Kind]time.Duration    // when a kind may be requested again after a refusal
+	requestedCounts     map[Kind]int              // machines in rental requests without a reply yet
+	unconfirmedRequests map[string]*rentalRequest // rental requests to retry, by request name
+	nextTypesAt         time.Duration
+	readingTypes        bool
+	nextListAt          time.Duration
+	readingList         bool
+	HasFullList         bool                          // a complete list has been read since New
+	partialList         map[string]wire.ListedMachine // the pages read so far of the list being read
+	listStartedAt       time.Duration
+	OnDeleted           func(id string) // called when the cloud has confirmed a deletion
+	deletedAt           map[string]time.Duration
 }
 
 // rentalRequest is a rental request and the kind of machines that it asks for.
@@ -124,7 +124,7 @@
 	// the machine types.
 	return &Manager{budget: 1, log: log, rate: rps * limits.CloudBudgetUse, requestPrefix: requestPrefix, listLag: limits.Seconds(listLagS),
 		replyHandlers: map[uint64]func(int, []byte){}, Types: map[string]*wire.MachineType{}, Rentals: map[string]*Rental{},
-		backoffUntil: map[Kind]time.Duration{}, inFlight: map[Kind]int{}, unconfirmed: map[string]*rentalRequest{}, deletedAt: map[string]time.Duration{}}
+		backoffUntil: map[Kind]time.Duration{}, requestedCounts: map[Kind]int{}, unconfirmedRequests: map[string]*rentalRequest{}, deletedAt: map[string]time.Duration{}}
 }
 
 // Classes returns the names of the machine types in alphabetical order.
@@ -153,16 +153,17 @@
 	return rental
 }
 
-// call adds a call to those that Tick returns. done receives the reply.
-func (m *Manager) call(method, path string, body any, done func(int, []byte)) {
+// queueCall adds a call to those that Tick returns. done is called with the reply.
+func (m *Manager) queueCall(method, path string, body any, done func(int, []byte)) {
 	m.budget--
 	m.lastCallID++
 	m.replyHandlers[m.lastCallID] = done
-	m.outgoing = append(m.outgoing, Call{ID: m.lastCallID, Method: method, Path: path, Body: body, Timeout: limits.CloudTimeout})
+	m.outgoingCalls = append(m.outgoingCalls, Call{ID: m.lastCallID, Method: method, Path: path, Body: body, Timeout: limits.CloudTimeout})
 }
 
-// Reply handles the result of a call. Status 0 means that no answer came.
-func (m *Manager) Reply(now time.Duration, id uint64, status int, body []byte) {
+// HandleReply passes the result of a call to the call's handler. Status 0 means that no
+// answer came.
+func (m *Manager) HandleReply(now time.Duration, id uint64, status int, body []byte) {
 	m.now = max(m.now, now)
 	done, ok := m.replyHandlers[id]
 	if !ok {
@@ -204,14 +205,14 @@
 		m.retryRentals()
 		m.readList()
 	}
-	out := m.outgoing
-	m.outgoing = nil
+	out := m.outgoingCalls
+	m.outgoingCalls = nil
 	return out
 }
 
 func (m *Manager) readTypes() {
 	m.readingTypes = true
-	m.call("GET", "/machine_types", nil, func(status int, body []byte) {
+	m.queueCall("GET", "/machine_types", nil, func(status int, body []byte) {
 		m.readingTypes = false
 		m.nextTypesAt = m.now + limits.CloudBackoff
 		var list wire.MachineTypes
@@ -227,8 +228,8 @@
 	})
 }
 
-// Delete marks a machine for deletion.
-func (m *Manager) Delete(id string, reason ReturnReason) {
+// MarkForDeletion makes Tick request the deletion of a machine.
+func (m *Manager) MarkForDeletion(id string, reason ReturnReason) {
 	rental := m.Rentals[id]
 	if rental == nil || rental.Deleting {
 		return
@@ -238,12 +239,12 @@
 	m.log(slog.LevelInfo, "machine returned", "machine", id, "why", reason)
 }
 
-// deleteAll marks machines for deletion in the order of their names, so that the
+// markAllForDeletion marks machines for deletion in the order of their names, so that the
 // order of log lines does not depend on the order of iteration over a map.
-func (m *Manager) deleteAll(ids []string, reason ReturnReason) {
+func (m *Manager) markAllForDeletion(ids []string, reason ReturnReason) {
 	sort.Strings(ids)
 	for _, id := range ids {
-		m.Delete(id, reason)
+		m.MarkForDeletion(id, reason)
 	}
 }
 
@@ -268,7 +269,7 @@
 	for _, id := range names {
 		m.Rentals[id].deletionInFlight = true
 	}
-	m.call("POST", "/hosts/delete", wire.MachineIDs{Machines: names}, func(status int, _ []byte) {
+	m.queueCall("POST", "/hosts/delete", wire.MachineIDs{Machines: names}, func(status int, _ []byte) {
 		for _, id := range names {
 			rental := m.Rentals[id]
 			if rental == nil {
@@ -304,7 +305,7 @@
 	if m.now < m.backoffUntil[kind] || !m.mayCall() {
 		return false
 	}
-	for _, request := range m.unconfirmed {
+	for _, request := range m.unconfirmedRequests {
 		if request.kind == kind {
 			return false
 		}
@@ -332,10 +333,10 @@
 // sendRental sends a rental request, for the first time or as a retry.
 func (m *Manager) sendRental(request *rentalRequest) {
 	kind := request.kind
-	delete(m.unconfirmed, request.payload.Request)
-	m.inFlight[kind] += request.payload.Count
-	m.call("POST", "/hosts", request.payload, func(status int, body []byte) {
-		m.inFlight[kind] -= request.payload.Count
+	delete(m.unconfirmedRequests, request.payload.Request)
+	m.requestedCounts[kind] += request.payload.Count
+	m.queueCall("POST", "/hosts", request.payload, func(status int, body []byte) {
+		m.requestedCounts[kind] -= request.payload.Count
 		var rented wire.MachineIDs
 		switch {
 		case status == 200 && wire.Decode(body, &rented) == nil:
@@ -349,7 +350,7 @@
 		case status == 0:
 			// The cloud may have rented them. A retry under the same name returns
 			// these machines and rents no others.
-			m.unconfirmed[request.payload.Request] = request
+			m.unconfirmedRequests[request.payload.Request] = request
 		default:
 			m.log(slog.LevelInfo, "no machines", "class", kind.Class, "zone", kind.Zone, "spot", kind.Spot, "asked", request.payload.Count, "status", status)
 			m.backoffUntil[kind] = m.now + limits.RentBackoff
@@ -360,9 +361,9 @@
 // retryRentals sends the rental requests without an answer again, in the order of their
 // names.
 func (m *Manager) retryRentals() {
-	for _, name := range slices.Sorted(maps.Keys(m.unconfirmed)) {
+	for _, name := range slices.Sorted(maps.Keys(m.unconfirmedRequests)) {
 		if m.mayCall() {
-			m.sendRental(m.unconfirmed[name])
+			m.sendRental(m.unconfirmedRequests[name])
 		}
 	}
 }
@@ -397,7 +398,7 @@
 		path += "&since=" + lastID
 	}
 	m.readingList = true
-	m.call("GET", path, nil, func(status int, body []byte) {
+	m.queueCall("GET", path, nil, func(status int, body []byte) {
 		m.readingList = false
 		var list wire.MachineList
 		if status != 200 || wire.Decode(body, &list) != nil {
@@ -437,15 +438,15 @@
 			unlisted = append(unlisted, rental.ID)
 		}
 	}
-	m.deleteAll(unlisted, ReturnUnlisted)
+	m.markAllForDeletion(unlisted, ReturnUnlisted)
 	m.partialList = nil
 }
 
-// DeleteDeadRentals marks the machines for deletion that failed or never came up.
+// MarkDeadRentalsForDeletion marks for deletion the machines that failed or never came up.
 // receivingHeartbeats reports whether heartbeats of workers arrive at this node, and
 // receivingSince is when they began to arrive after the last gap.
-func (m *Manager) DeleteDeadRentals(receivingHeartbeats bool, receivingSince time.Duration) {
-	m.updateRisk()
+func (m *Manager) MarkDeadRentalsForDeletion(receivingHeartbeats bool, receivingSince time.Duration) {
+	m.updateSpotRisk()
 	var failed, neverUp []string
 	for _, rental := range m.Rentals {
 		if rental.Deleting {
@@ -476,25 +477,25 @@
 			neverUp = append(neverUp, rental.ID)
 		}
 	}
-	m.deleteAll(failed, ReturnFailed)
-	m.deleteAll(neverUp, ReturnNeverUp)
+	m.markAllForDeletion(failed, ReturnFailed)
+	m.markAllForDeletion(neverUp, ReturnNeverUp)
 }
 
-// Booting returns, for each kind, how many machines are requested or rented but not up yet. A
-// machine that was up and has sent the new owner no heartbeat within TakeoverTimeout does not count
-// as booting. Otherwise no replacements would be rented when half of a fleet becomes unreachable
-// while its owner fails.
-func (m *Manager) Booting() map[Kind]int {
+// CountBooting returns, for each kind, how many machines are requested or rented but not up
+// yet. A machine that was up and has sent the new owner no heartbeat within TakeoverTimeout
+// does not count as booting. Otherwise no replacements would be rented when half of a fleet
+// becomes unreachable while its owner fails.
+func (m *Manager) CountBooting() map[Kind]int {
 	counts := map[Kind]int{}
 	for _, rental := range m.Rentals {
 		if !rental.Up && !rental.Deleting && !(rental.WasUp && m.now-rental.TrackedSince > m.TakeoverTimeout) {
 			counts[rental.Kind]++
 		}
 	}
-	for kind, count := range m.inFlight {
+	for kind, count := range m.requestedCounts {
 		counts[kind] += count
 	}
-	for _, request := range m.unconfirmed {
+	for _, request := range m.unconfirmedRequests {
 		counts[request.kind] += request.payload.Count
 	}
 	return counts
@@ -504,20 +505,20 @@
 // machine is presumed dead after missed heartbeats.
 func (m *Manager) RecordSpotLoss() { m.spotLosses++ }
 
-// updateRisk adds the time since the last update to the record of spot losses and
-// applies its decay.
-func (m *Manager) updateRisk() {
-	elapsed := m.now - m.riskUpdatedAt
-	m.riskUpdatedAt = m.now
-	keep := math.Exp(-elapsed.Seconds() / limits.SpotRiskDecayTime.Seconds())
+// updateSpotRisk applies the decay to spotLosses and spotHours, and adds the hours that spot
+// machines ran since the last update.
+func (m *Manager) updateSpotRisk() {
+	elapsed := m.now - m.spotRiskUpdatedAt
+	m.spotRiskUpdatedAt = m.now
+	decay := math.Exp(-elapsed.Seconds() / limits.SpotRiskDecayTime.Seconds())
 	up := 0.0
 	for _, rental := range m.Rentals {
 		if rental.Up && rental.Kind.Spot {
 			up++
 		}
 	}
-	m.spotLosses *= keep
-	m.spotHours = m.spotHours*keep + up*elapsed.Hours()
+	m.spotLosses *= decay
+	m.spotHours = m.spotHours*decay + up*elapsed.Hours()
 }
 
 // SpotRisk returns the probability that a spot machine is lost within a number of
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -27,9 +27,9 @@
 	for _, call := range manager.Tick(now, true, 1) {
 		switch {
 		case call.Path == "/machine_types":
-			manager.Reply(now, call.ID, 200, encode(t, wire.MachineTypes{Types: []wire.MachineType{{Name: "c", BootS: 10}}}))
+			manager.HandleReply(now, call.ID, 200, encode(t, wire.MachineTypes{Types: []wire.MachineType{{Name: "c", BootS: 10}}}))
 		case strings.HasPrefix(call.Path, "/hosts?"):
-			manager.Reply(now, call.ID, 200, encode(t, wire.MachineList{}))
+			manager.HandleReply(now, call.ID, 200, encode(t, wire.MachineList{}))
 		default:
 			calls = append(calls, call)
 		}
@@ -50,8 +50,8 @@
 	manager.Rent(kind, 3)
 	calls := tick(t, manager, now)
 	first := calls[0].Body.(wire.RentalRequest)
-	manager.Reply(now, calls[0].ID, 0, nil)
-	if manager.MayRent(kind) || manager.Booting()[kind] != 3 {
+	manager.HandleReply(now, calls[0].ID, 0, nil)
+	if manager.MayRent(kind) || manager.CountBooting()[kind] != 3 {
 		t.Fatal("an unanswered rental request does not block others of its kind or is not counted")
 	}
 	now += 5 * time.Second
@@ -59,9 +59,9 @@
 	if len(calls) != 1 || calls[0].Body.(wire.RentalRequest) != first {
 		t.Fatalf("retried as %+v, want %+v", calls, first)
 	}
-	manager.Reply(now, calls[0].ID, 200, encode(t, wire.MachineIDs{Machines: []string{"i-1", "i-2"}}))
-	if manager.Booting()[kind] != 2 || manager.Available(kind) || len(manager.Rentals) != 2 {
-		t.Errorf("booting %v, available %v", manager.Booting(), manager.Available(kind))
+	manager.HandleReply(now, calls[0].ID, 200, encode(t, wire.MachineIDs{Machines: []string{"i-1", "i-2"}}))
+	if manager.CountBooting()[kind] != 2 || manager.Available(kind) || len(manager.Rentals) != 2 {
+		t.Errorf("booting %v, available %v", manager.CountBooting(), manager.Available(kind))
 	}
 	now += 10 * time.Second
 	tick(t, manager, now)
@@ -71,22 +71,22 @@
 	}
 
 	// A deletion is retried until the cloud answers it with status 200.
-	manager.Delete("i-1", ReturnIdle)
+	manager.MarkForDeletion("i-1", ReturnIdle)
 	calls = tick(t, manager, now)
-	manager.Reply(now, calls[0].ID, 0, nil)
+	manager.HandleReply(now, calls[0].ID, 0, nil)
 	if len(deleted) != 0 {
 		t.Fatal("the machine counts as deleted without an answer")
 	}
 	now += 5 * time.Second
 	calls = tick(t, manager, now)
-	manager.Reply(now, calls[0].ID, 200, nil)
+	manager.HandleReply(now, calls[0].ID, 200, nil)
 	if len(deleted) != 1 || !manager.IsDeleted("i-1") || manager.Track("i-1", kind, now) != nil {
 		t.Errorf("deleted %v, want only i-1, which can't be tracked again", deleted)
 	}
 	// A machine that never comes up is marked for deletion in the end.
 	now += 2 * time.Minute
 	tick(t, manager, now)
-	manager.DeleteDeadRentals(true, 0)
+	manager.MarkDeadRentalsForDeletion(true, 0)
 	if !manager.Rentals["i-2"].Deleting {
 		t.Error("a machine that never came up is not marked for deletion")
 	}
@@ -105,7 +105,7 @@
 		t.Errorf("risk %v after losses, %v before", manager.SpotRisk(60), baseline)
 	}
 	manager.now = time.Hour
-	manager.DeleteDeadRentals(true, 0)
+	manager.MarkDeadRentalsForDeletion(true, 0)
 	if manager.SpotRisk(60) > baseline {
 		t.Errorf("risk %v an hour later, %v before", manager.SpotRisk(60), baseline)
 	}
@@ -122,11 +122,11 @@
 	kind := Kind{Class: "c", Zone: "z"}
 	manager.Track("i-1", kind, time.Second).WasUp = true
 	manager.Track("i-2", kind, time.Second)
-	if n := manager.Booting()[kind]; n != 2 {
+	if n := manager.CountBooting()[kind]; n != 2 {
 		t.Errorf("%d machines booting at first, want 2", n)
 	}
 	tick(t, manager, 10*time.Second)
-	if n := manager.Booting()[kind]; n != 1 {
+	if n := manager.CountBooting()[kind]; n != 1 {
 		t.Errorf("%d machines booting after the takeover timeout, want 1", n)
 	}
 }
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -39,7 +39,7 @@
 }
 
 // TaskRun is the time that an attempt of a task spent on a machine: from when it could first execute
-// until it ended, or its machine was gone or had to drop it.
+// until it ended, or its machine was gone or had to stop it.
 type TaskRun struct {
 	Job     string
 	Task    string
@@ -66,7 +66,7 @@
 // Rule identifies a rule of the protocol by the way in which it is violated.
 type Rule string
 
-// The rules that are checked.
+// Rules that Check checks. Each constant is named after the way in which its rule is violated.
 const (
 	// StateRegressed means that an answer reports an earlier state than a previous answer, a
 	// different final state, or a cancellation that no user requested.
@@ -156,7 +156,7 @@
 			violations = append(violations, Violation{Rule: rule, Job: job, Answer: answer, Earlier: earlier})
 		}
 		if earlier := highestBefore(answered[:i], answer.SentAt); earlier != nil {
-			if rule, contradicted := contradiction(*earlier, answer); contradicted {
+			if rule, contradicted := violatedRule(*earlier, answer); contradicted {
 				add(rule, earlier)
 			}
 		}
@@ -234,9 +234,9 @@
 	return &answered[i]
 }
 
-// contradiction reports whether an answer reports a lower state than one that was given before its
-// request was sent, and which rule it violates.
-func contradiction(earlier, answer Exchange) (Rule, bool) {
+// violatedRule returns the rule that answer violates by reporting a lower state than earlier, which was
+// given before the request of answer was sent. It returns false if answer violates none.
+func violatedRule(earlier, answer Exchange) (Rule, bool) {
 	before, after := earlier.reported(), answer.reported()
 	refused := answer.Kind == Submission && (answer.Status == 400 || answer.Status == 422)
 	switch {
--- a/internal/jobs/answers.go
+++ b/internal/jobs/answers.go
@@ -61,7 +61,7 @@
 // request arrived is withheld. Callers start a new read if theirs is not fresh for a request, so a
 // withheld answer is a bug in this program.
 func (r *Registry) answerFromRead(read stateRead, w *waiter, a Answer) {
-	if final, ok := r.finals[w.jobID]; ok {
+	if final, ok := r.finalStates[w.jobID]; ok {
 		w.answer(finalAnswer(w.jobID, final))
 		return
 	}
--- a/internal/jobs/cancellations.go
+++ b/internal/jobs/cancellations.go
@@ -79,9 +79,10 @@
 	}
 }
 
-// IsDone reports whether this node still remembers that a job completed.
+// IsDone reports whether this node has a record that a job completed. It returns false for a job whose
+// final state is no longer cached.
 func (r *Registry) IsDone(id string) bool {
-	return r.finals[id].Status == wire.StatusDone || r.finalized[id] != nil
+	return r.finalStates[id].Status == wire.StatusDone || r.finalized[id] != nil
 }
 
 // setCancelled marks an open job as cancelled.
@@ -101,15 +102,16 @@
 	return true
 }
 
-// CancelledAfter returns the jobs that some owner may have launched and whose cancellation was
-// recorded after a revision, or is not known to be older. An owner whose term is a later revision
-// than the cancellation has never launched a task of the job, because the cancellation was known to
-// it from the start of its term.
-func (r *Registry) CancelledAfter(revision uint64) (list []*Job) {
+// JobsCancelledAfter returns the jobs that some owner may have launched and whose cancellation was
+// recorded after a revision, or is not known to be older. An owner whose term is a later revision than
+// the cancellation has never launched a task of the job, because it had read the cancellation before it
+// began to act under that term.
+func (r *Registry) JobsCancelledAfter(revision uint64) (list []*Job) {
 	for id, j := range r.cancelled {
-		// Until the mark is read, the cancellation counts as newer than every revision.
-		mark, read := r.store.Mirror.Get(keyCancelled + id)
-		if j.MayHaveLaunched() && (!read || mark.Version > revision) {
+		// Until the key that records the cancellation is in the mirror, the cancellation counts as newer
+		// than every revision.
+		cancellation, read := r.store.Mirror.Get(keyCancelled + id)
+		if j.MayHaveLaunched() && (!read || cancellation.Version > revision) {
 			list = append(list, j)
 		}
 	}
@@ -124,7 +126,7 @@
 	for _, id := range ids {
 		j := r.Open[id]
 		anyNew = anyNew || j != nil && !j.Cancelled
-		if _, ok := r.finals[id]; !ok {
+		if _, ok := r.finalStates[id]; !ok {
 			final := finalState{Status: wire.StatusCancelled}
 			if j != nil {
 				final.Done = max(j.DoneCount, j.displayDone)
@@ -139,10 +141,9 @@
 // Cancellations returns the cancelled jobs that may still have tasks, as far as this node knows,
 // and the jobs whose cancellation it confirmed to a user within CancelNoticeRetention.
 //
-// After that time, a confirmed cancellation still stays in the list until the job's record is known
-// to be removed. Otherwise the list, which is sent to peers as complete, could lack an old
-// cancellation: for a moment when the time has passed, and permanently if this node had not read
-// the job's record.
+// After that time, a confirmed cancellation still stays in the list until the job's record is known to
+// be removed. Otherwise the list, which is sent to peers as complete, could lack an old cancellation:
+// briefly, right after that time has passed, or permanently if this node had not read the job's record.
 func (r *Registry) Cancellations() []string {
 	var ids []string
 	for id := range r.cancelled {
@@ -152,7 +153,7 @@
 		if r.cancelled[id] != nil {
 			continue // included above
 		}
-		if r.now-confirmedAt > limits.CancelNoticeRetention && r.recordRemoved(id, confirmedAt) {
+		if r.now-confirmedAt > limits.CancelNoticeRetention && r.isRecordRemoved(id, confirmedAt) {
 			delete(r.confirmedCancellations, id)
 			continue
 		}
@@ -162,9 +163,9 @@
 	return ids
 }
 
-// recordRemoved reports whether the record of a job that had ended at the given time is known to
-// have been removed since. The record is removed only when no task of the job is left.
-func (r *Registry) recordRemoved(id string, endedAt time.Duration) bool {
+// isRecordRemoved reports whether the record of a job that had ended at the given time is known to have
+// been removed since. The record is removed only when no task of the job is left.
+func (r *Registry) isRecordRemoved(id string, endedAt time.Duration) bool {
 	return r.Open[id] == nil && r.store.Mirror.KnownThrough > endedAt
 }
 
--- a/internal/jobs/done_sets.go
+++ b/internal/jobs/done_sets.go
@@ -95,9 +95,9 @@
 	case j.isPacked():
 		if !j.doneSetRequested {
 			j.doneSetRequested = true
-			// The wait lets the done sets of many small jobs share one write. Without it,
-			// jobs that arrive together would need one write each, and wait for one after the
-			// other.
+			// The wait lets the done sets of many small jobs share one write. Without the wait, jobs
+			// that arrive together would need one write each, and the writes would queue for the write
+			// budget.
 			wait := min(r.store.WriteWait(statestore.PriorityFinish), limits.MaxPrepareWait)
 			r.doneSets.SetUrgent(j.GuardClass, j.ID, j.Done.encodeChunk(0, limits.ChunkTasks), wait)
 		}
--- a/internal/jobs/faulty_jobs.go
+++ b/internal/jobs/faulty_jobs.go
@@ -13,9 +13,9 @@
 	}
 }
 
-// MarkedFaulty returns the jobs that an owner marked as faulty and that are still considered so,
+// JobsMarkedFaulty returns the jobs that an owner marked as faulty and that still count as faulty,
 // except those in known.
-func (r *Registry) MarkedFaulty(known []string) []string {
+func (r *Registry) JobsMarkedFaulty(known []string) []string {
 	var ids []string
 	for id, j := range r.Open {
 		if j.MarkedFaulty && j.Faulty() && !slices.Contains(known, id) {
--- a/internal/jobs/final_states.go
+++ b/internal/jobs/final_states.go
@@ -78,7 +78,7 @@
 	if removeLater {
 		r.awaitRemoval(j)
 	} else {
-		r.dropOpen(j.ID)
+		r.dropOpenJob(j.ID)
 	}
 }
 
@@ -135,9 +135,8 @@
 	r.store.Txn(statestore.PriorityProgress, limits.StoreTimeout*2, txn, func(statestore.Reply) { r.removingFinalized = false })
 }
 
-// dropOpen removes a job that has ended from the open jobs. Its done set is removed by
-// removeOrphans.
-func (r *Registry) dropOpen(id string) {
+// dropOpenJob removes a job that has ended from the open jobs. Its done set is removed by removeOrphans.
+func (r *Registry) dropOpenJob(id string) {
 	if j := r.Open[id]; j != nil && j.doneSetWritten {
 		r.orphanDoneSets[id] = true
 	}
@@ -150,7 +149,7 @@
 // cancellation that was not in the cache is also queued to be sent to peers, and the job is marked
 // as cancelled if it is open.
 func (r *Registry) cacheFinal(id string, final finalState) {
-	if _, ok := r.finals[id]; !ok {
+	if _, ok := r.finalStates[id]; !ok {
 		if final.Status == wire.StatusCancelled {
 			r.confirmedCancellations[id] = r.now
 			r.newCancellations = append(r.newCancellations, id)
@@ -158,9 +157,9 @@
 		}
 		r.finalOrder = append(r.finalOrder, id)
 		if len(r.finalOrder) > limits.MaxCachedFinalStates {
-			delete(r.finals, r.finalOrder[0])
+			delete(r.finalStates, r.finalOrder[0])
 			r.finalOrder = r.finalOrder[1:]
 		}
 	}
-	r.finals[id] = final
+	r.finalStates[id] = final
 }
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -59,20 +59,20 @@
 	durableDone          TaskSet
 	chunkVersions        map[string]uint64 // versions of the written chunks of the done set, by key
 	dirtyChunks          map[int]bool      // chunks with completions that are not written yet
-	doneSetWritten       bool              // its done set under u/s/ is written
-	doneSetRequested     bool              // the write of its done set under u/s/ was requested
+	doneSetWritten       bool              // the job's done set under u/s/ is written
+	doneSetRequested     bool              // the write of the job's done set under u/s/ was requested
 	chunkWriteInFlight   bool
 	finalizing           bool
 	Assigned             map[int]Assignment
-	nextTaskHint         int    // no task below it is waiting
+	nextTaskHint         int    // no task with a lower number is waiting
 	GuardClass           string // a class of the job, for the owner's guard
 	TypeSet              map[string]bool
 	PlacementKey         string // equal for jobs whose tasks may run on the same machines
 
 	Active   bool // this node owns the job's classes
-	Prepared bool // its done set, or chunk 0 of it, is written: tasks may be launched
+	Prepared bool // the job's done set, or chunk 0 of the set, is written: tasks may be launched
 	Frozen   bool // launched by an earlier owner, and the machines of its tasks are not all known yet
-	Started  bool // a task of it was reported as running or done
+	Started  bool // a task of the job was reported as running or done
 
 	GangRun GangRun // for a gang: the current attempt
 
@@ -90,14 +90,14 @@
 // attempt number.
 type GangRun struct {
 	Attempt      uint64          // 0: no attempt is in progress
-	Started      bool            // a task of it was reported as running: no task can be replaced any more
+	Started      bool            // a task of the attempt was reported as running: no task can be replaced any more
 	Ending       bool            // the attempt has failed: all its tasks must be gone before the next attempt
 	StoppedAt    time.Duration   // when all tasks were ordered to save and stop; 0: not ordered
 	LeftMachines map[string]bool // machines that a task of this attempt has left
 }
 
-// Running returns the number of tasks that run or save their state.
-func (j *Job) Running() int {
+// RunningCount returns the number of tasks that run or save their state.
+func (j *Job) RunningCount() int {
 	count := 0
 	for _, assignment := range j.Assigned {
 		if assignment.State >= Running {
@@ -114,8 +114,8 @@
 	return failed && !j.Succeeded
 }
 
-// Waiting returns the number of tasks that are neither done nor assigned.
-func (j *Job) Waiting() int { return j.Tasks - j.DoneCount - len(j.Assigned) }
+// WaitingCount returns the number of tasks that are neither done nor assigned.
+func (j *Job) WaitingCount() int { return j.Tasks - j.DoneCount - len(j.Assigned) }
 
 // AssignedTasks returns the assigned tasks in ascending order.
 func (j *Job) AssignedTasks() []int { return slices.Sorted(maps.Keys(j.Assigned)) }
--- a/internal/jobs/lookups.go
+++ b/internal/jobs/lookups.go
@@ -23,7 +23,7 @@
 
 // startLookup answers a request from the cache of final states, refuses it, or queues it.
 func (r *Registry) startLookup(request *lookup) {
-	if final, ok := r.finals[request.jobID]; ok {
+	if final, ok := r.finalStates[request.jobID]; ok {
 		request.answer(finalAnswer(request.jobID, final))
 		return
 	}
--- a/internal/jobs/registry.go
+++ b/internal/jobs/registry.go
@@ -45,16 +45,17 @@
 	log      func(level slog.Level, msg string, args ...any)
 	now      time.Duration
 	unixTime float64 // time of day in Unix seconds, for the log
-	Open     map[string]*Job
+	// Open holds the unfinished jobs, and the cancelled jobs of which tasks may be left, by ID.
+	Open map[string]*Job
 	// cancelled holds the jobs in Open that are cancelled.
 	cancelled map[string]*Job
 	// WithheldAnswers counts answers that were not sent because the state was read before the
 	// request arrived. Each one is a bug in this program.
 	WithheldAnswers int
 
-	// finals caches final states; finalOrder lists their jobs, oldest entry first.
-	finals     map[string]finalState
-	finalOrder []string
+	// finalStates caches the final states of jobs; finalOrder lists these jobs, oldest entry first.
+	finalStates map[string]finalState
+	finalOrder  []string
 	// confirmedCancellations holds the cancelled jobs whose cancellation this node confirms to
 	// users, with the time of the first confirmation. newCancellations lists those that have not
 	// been sent to the owners yet.
@@ -89,7 +90,7 @@
 
 // New returns an empty registry.
 func New(store *statestore.Store, guard func(class string) wire.Guard, format func() int, log func(slog.Level, string, ...any)) *Registry {
-	r := &Registry{store: store, ownerGuard: guard, recordFormat: format, log: log, Open: map[string]*Job{}, cancelled: map[string]*Job{}, finals: map[string]finalState{}, confirmedCancellations: map[string]time.Duration{}, submissionsByID: map[string]*submission{},
+	r := &Registry{store: store, ownerGuard: guard, recordFormat: format, log: log, Open: map[string]*Job{}, cancelled: map[string]*Job{}, finalStates: map[string]finalState{}, confirmedCancellations: map[string]time.Duration{}, submissionsByID: map[string]*submission{},
 		cancellationsKnownThrough: ConfirmedAtAnyTime, nextWriteAt: map[string]time.Duration{}, orphanChunks: map[string]bool{}, orphanDoneSets: map[string]bool{}, finalized: map[string]*Job{}}
 	r.doneSets = statestore.NewRecordTable(store, keyDoneSets, guard, r.applyDoneSet)
 	return r
@@ -128,14 +129,15 @@
 	}
 	j := newJob(spec, change.Entry.Version)
 	r.Open[id] = j
-	if stored, ok := r.doneSets.Stored(id); ok {
+	if stored, ok := r.doneSets.StoredValue(id); ok {
 		r.applyDoneSet(id, "", stored, false)
 	}
-	// Keys under c/ sort before keys under o/, so the mark may have been read before the record. A
-	// user request or a peer may also have reported the cancellation before the record arrived.
-	_, marked := r.store.Mirror.Get(keyCancelled + id)
-	if marked || r.finals[id].Status == wire.StatusCancelled {
-		// This node may have known of the cancellation for a long time.
+	// Keys under c/ sort before keys under o/, so the key that records the cancellation may have been
+	// read before the job. A user request or a peer may also have reported the cancellation before the
+	// record arrived.
+	_, cancelled := r.store.Mirror.Get(keyCancelled + id)
+	if cancelled || r.finalStates[id].Status == wire.StatusCancelled {
+		// The time of the cancellation is unknown: this node may have read it long ago.
 		r.setCancelled(j, ConfirmedAtAnyTime)
 	}
 }
@@ -172,7 +174,7 @@
 			r.markOrphanChunk(key)
 		}
 	}
-	r.dropOpen(id)
+	r.dropOpenJob(id)
 	if j := r.finalized[id]; j != nil {
 		delete(r.finalized, id)
 		if j.doneSetWritten {
@@ -272,13 +274,13 @@
 }
 
 func (r *Registry) currentStatus(id string) wire.JobStatus {
-	if final, ok := r.finals[id]; ok {
+	if final, ok := r.finalStates[id]; ok {
 		return wire.JobStatus{ID: id, Status: final.Status, Done: final.Done}
 	}
 	status := wire.JobStatus{ID: id, Status: wire.StatusPending}
 	if j := r.Open[id]; j != nil {
 		if j.Active {
-			status.Done, status.Running = j.DoneCount, j.Running()
+			status.Done, status.Running = j.DoneCount, j.RunningCount()
 		} else {
 			status.Done, status.Running = max(j.DoneCount, j.displayDone), j.displayRunning
 		}
--- a/internal/jobs/registry_test.go
+++ b/internal/jobs/registry_test.go
@@ -75,7 +75,7 @@
 	for _, call := range h.store.Tick(h.now) {
 		switch {
 		case strings.HasPrefix(call.Path, "/kv?"):
-			h.store.Reply(h.now, call.ID, 200, h.encode(map[string]any{"rows": []any{}, "ledger": 1}))
+			h.store.HandleReply(h.now, call.ID, 200, h.encode(map[string]any{"rows": []any{}, "ledger": 1}))
 		case call.Path == "/multi":
 			h.txns = append(h.txns, call)
 		case strings.HasPrefix(call.Path, "/kv/"):
@@ -106,7 +106,7 @@
 	if len(h.txns) != 1 {
 		t.Fatalf("%d transactions were sent, want 1", len(h.txns))
 	}
-	h.store.Reply(h.now, h.txns[0].ID, 200, h.encode(wire.TxnReply{Revision: 9}))
+	h.store.HandleReply(h.now, h.txns[0].ID, 200, h.encode(wire.TxnReply{Revision: 9}))
 	if len(got) != 2 || got[0].Status != 201 || got[1].Status != 200 {
 		t.Fatalf("answers %+v", got)
 	}
@@ -115,7 +115,7 @@
 	h.txns, got = nil, nil
 	h.registry.Submit(h.now, &wire.Job{ID: "job-2", Tasks: 1}, func(answer Answer) { got = append(got, answer) })
 	h.tick()
-	h.store.Reply(h.now, h.txns[0].ID, 0, nil)
+	h.store.HandleReply(h.now, h.txns[0].ID, 0, nil)
 	if len(got) != 1 || got[0].Status != 503 || got[0].RetryAfter == 0 || h.registry.IsAccepted("job-2") {
 		t.Fatalf("answers %+v", got)
 	}
@@ -137,7 +137,7 @@
 		t.Errorf("%+v", txn)
 	}
 	// job-2 exists although it is not in the mirror yet; job-3 does not exist.
-	h.store.Reply(h.now, h.txns[0].ID, 409, h.encode(wire.TxnReply{Failed: []string{keyJob + "job-2"}}))
+	h.store.HandleReply(h.now, h.txns[0].ID, 409, h.encode(wire.TxnReply{Failed: []string{keyJob + "job-2"}}))
 	for id, want := range map[string]int{"job-1": 200, "job-2": 200, "job-3": 404} {
 		if got[id].Status != want {
 			t.Errorf("%s: %d, want %d", id, got[id].Status, want)
@@ -146,7 +146,7 @@
 	h.txns = nil
 	h.registry.Query(h.now, "job-3", func(answer Answer) { got["job-3"] = answer })
 	h.tick()
-	h.store.Reply(h.now, h.txns[0].ID, 503, nil)
+	h.store.HandleReply(h.now, h.txns[0].ID, 503, nil)
 	if got["job-3"].Status != 503 {
 		t.Errorf("without the state service: %d", got["job-3"].Status)
 	}
@@ -197,7 +197,7 @@
 	if fmt.Sprint(txn.Guards) != "[{u/own/c 1} {u/o/job-1 5} {fin/job-1 0}]" {
 		t.Errorf("guards %v", txn.Guards)
 	}
-	h.store.Reply(h.now, h.txns[0].ID, 409, h.encode(wire.TxnReply{Failed: []string{keyFinal + "job-1"}}))
+	h.store.HandleReply(h.now, h.txns[0].ID, 409, h.encode(wire.TxnReply{Failed: []string{keyFinal + "job-1"}}))
 	if h.registry.Open["job-1"] == nil {
 		t.Fatal("the job was dropped although its completion was refused")
 	}
@@ -235,7 +235,7 @@
 				}
 				removed++
 			}
-			h.store.Reply(h.now, call.ID, 200, h.encode(wire.TxnReply{Revision: 99}))
+			h.store.HandleReply(h.now, call.ID, 200, h.encode(wire.TxnReply{Revision: 99}))
 		}
 	}
 	if removed != 7 {
@@ -299,7 +299,7 @@
 					status = 400
 				}
 			}
-			h.store.Reply(h.now, call.ID, status, h.encode(wire.TxnReply{Revision: 9}))
+			h.store.HandleReply(h.now, call.ID, status, h.encode(wire.TxnReply{Revision: 9}))
 		}
 	}
 	if got["job-1"] != 201 || got["job-3"] != 201 || got["job-2"] != 503 {
--- a/internal/jobs/stale_answers_test.go
+++ b/internal/jobs/stale_answers_test.go
@@ -46,7 +46,7 @@
 	}
 	call := h.gets[0]
 	h.gets = nil
-	h.store.Reply(h.now, call.ID, 200, h.encode(map[string]any{"path": "x", "v": finalState{Status: state}, "stamp": 9}))
+	h.store.HandleReply(h.now, call.ID, 200, h.encode(map[string]any{"path": "x", "v": finalState{Status: state}, "stamp": 9}))
 }
 
 // requireNewLookup checks that a repeated submission has no answer yet, and that it is answered
@@ -57,7 +57,7 @@
 		h.t.Fatalf("the repeated submission was answered from an earlier read: %+v", *repeat)
 	}
 	h.tick()
-	h.store.Reply(h.now, h.takeTxn().ID, 409, h.encode(wire.TxnReply{Failed: []string{keyFinal + id}}))
+	h.store.HandleReply(h.now, h.takeTxn().ID, 409, h.encode(wire.TxnReply{Failed: []string{keyFinal + id}}))
 	h.tick()
 	h.replyFinal(wire.StatusCancelled)
 	if len(*repeat) != 1 {
@@ -80,13 +80,13 @@
 // share the answer of the lookup, which was sent before the repeat arrived.
 func TestRepeatAfterLookupSent(t *testing.T) {
 	h, commit, first := newHarnessWithSubmission(t, "job-1")
-	h.store.Reply(h.now, commit.ID, 409, h.encode(wire.TxnReply{Failed: []string{keyJob + "job-1"}}))
+	h.store.HandleReply(h.now, commit.ID, 409, h.encode(wire.TxnReply{Failed: []string{keyJob + "job-1"}}))
 	h.tick()
 	lookupCall := h.takeTxn()
 
 	var repeat []Answer
 	h.submit("job-1", &repeat)
-	h.store.Reply(h.now, lookupCall.ID, 409, h.encode(wire.TxnReply{Failed: []string{keyJob + "job-1"}}))
+	h.store.HandleReply(h.now, lookupCall.ID, 409, h.encode(wire.TxnReply{Failed: []string{keyJob + "job-1"}}))
 	if len(*first) != 1 {
 		t.Fatalf("the first submission has %d answers, want 1", len(*first))
 	}
@@ -101,7 +101,7 @@
 	h, commit, first := newHarnessWithSubmission(t, "job-1")
 	var repeat []Answer
 	h.submit("job-1", &repeat)
-	h.store.Reply(h.now, commit.ID, 200, h.encode(wire.TxnReply{Revision: 9}))
+	h.store.HandleReply(h.now, commit.ID, 200, h.encode(wire.TxnReply{Revision: 9}))
 	if len(*first) != 1 || (*first)[0].Status != 201 {
 		t.Fatalf("the first submission got %+v", *first)
 	}
@@ -121,7 +121,7 @@
 		t.Fatalf("the query has %d answers, want 1", len(query))
 	}
 	requireStatus(t, query[0], wire.StatusCancelled)
-	h.store.Reply(h.now, commit.ID, 200, h.encode(wire.TxnReply{Revision: 9}))
+	h.store.HandleReply(h.now, commit.ID, 200, h.encode(wire.TxnReply{Revision: 9}))
 	if len(*first) != 1 {
 		t.Fatalf("the submission has %d answers, want 1", len(*first))
 	}
--- a/internal/jobs/submissions.go
+++ b/internal/jobs/submissions.go
@@ -18,14 +18,14 @@
 	jobExists      bool      // the job was accepted before, and only its state is looked up
 }
 
-// Full reports whether the limit of waiting requests or of open jobs is reached.
-func (r *Registry) Full() bool {
+// IsFull reports whether the limit of waiting requests or of open jobs is reached.
+func (r *Registry) IsFull() bool {
 	return r.waitingRequests >= limits.MaxWaitingRequests || len(r.Open) >= limits.MaxOpenJobs
 }
 
 // IsAccepted reports whether the job is certain to have been accepted.
 func (r *Registry) IsAccepted(id string) bool {
-	if _, ok := r.finals[id]; ok {
+	if _, ok := r.finalStates[id]; ok {
 		return true
 	}
 	return r.Open[id] != nil
@@ -39,7 +39,7 @@
 		r.joinSubmission(sub, w)
 		return
 	}
-	if r.Full() {
+	if r.IsFull() {
 		answer(Answer{Status: 429, Body: wire.ErrorBody{Error: "too many requests wait"}, RetryAfter: limits.RetryAfterS})
 		return
 	}
@@ -58,8 +58,8 @@
 	r.queuedSubmissions = append(r.queuedSubmissions, sub)
 }
 
-// joinSubmission makes a repeated submission wait for the result of the unfinished submission of
-// the same job. If the job is already known to exist, the repeat gets a lookup of its own.
+// joinSubmission makes a repeated submission wait for the result of the unfinished submission of the
+// same job. If the job is already known to exist, the repeated submission gets a lookup of its own.
 func (r *Registry) joinSubmission(sub *submission, w *waiter) {
 	if sub.jobExists {
 		r.startLookup(&lookup{waiter: w})
@@ -68,7 +68,8 @@
 	sub.waiters = append(sub.waiters, w)
 }
 
-// closeSubmission ends a submission. A later repeat starts a new submission.
+// closeSubmission removes a submission that no longer waits for a result. If a user submits the job
+// again, a new submission starts.
 func (r *Registry) closeSubmission(sub *submission) {
 	if r.submissionsByID[sub.job.ID] == sub {
 		delete(r.submissionsByID, sub.job.ID)
@@ -156,10 +157,10 @@
 	}
 }
 
-// answerAccepted answers the users who wait for a submission that was just accepted. A repeat
-// that arrived after the transaction was sent gets a new lookup: before that repeat was sent,
-// another node may have confirmed to a user that the job is cancelled, and "pending" would be a
-// stale answer.
+// answerAccepted answers the users who wait for a submission that was just accepted. A repeated
+// submission that arrived after the transaction was sent gets a new lookup: before the user sent it,
+// another node may have confirmed to a user that the job is cancelled, and "pending" would be a stale
+// answer.
 func (r *Registry) answerAccepted(sub *submission, read stateRead) {
 	pending := wire.JobStatus{ID: sub.job.ID, Status: wire.StatusPending}
 	for i, w := range sub.waiters {
@@ -186,9 +187,9 @@
 	}
 }
 
-// lookUpExisting looks up the state of a job whose submission is a repeat. Every waiting user
-// gets a separate lookup, including users who join before the first one is answered: a shared
-// answer could have been read before a later request arrived, and would be stale for it.
+// lookUpExisting looks up the state of a job that had already been accepted when it was submitted again.
+// Every waiting user gets a separate lookup, including users who join before the first one is answered:
+// a shared answer could have been read before a later request arrived, and would be stale for it.
 func (r *Registry) lookUpExisting(sub *submission) {
 	sub.jobExists = true
 	first := sub.waiters[0]
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -5,7 +5,7 @@
 
 import "time"
 
-// Protocol messages.
+// Limits of protocol messages.
 const (
 	// MaxBodyBytes bounds every request and response body, as the protocol requires.
 	MaxBodyBytes = 64 << 10
@@ -29,7 +29,7 @@
 	MaxTypesListed = 1000
 )
 
-// Monotonic clocks.
+// Tolerances for differences between monotonic clocks.
 const (
 	// ClockDrift is the relative drift allowed between two monotonic clocks: twice the 0.05%
 	// that the protocol guarantees for each clock, because both may drift.
@@ -40,7 +40,7 @@
 	LeaseMargin = 300 * time.Millisecond
 )
 
-// Ownership of machine classes.
+// Timing of leases, extensions and the ownership of machine classes.
 const (
 	// RecordFormat is the newest record format that this version reads and writes.
 	// Format 2 added gangs and smaller chunks of done sets.
@@ -89,7 +89,7 @@
 	ClaimRetryInterval = 500 * time.Millisecond
 )
 
-// The state service.
+// Timeouts, budgets and record sizes for the state service, and intervals of an owner's periodic work.
 const (
 	// OwnerRequestWeight and OwnerWriteWeight are the weights of an owner in the distribution of
 	// the request and write budgets; a node that only accepts users' requests has weight 1. A
@@ -102,13 +102,13 @@
 	// WatchHold is how long a watch stays open without events. It also bounds how long a watch
 	// that has stopped delivering events goes unnoticed.
 	WatchHold = 5 * time.Second
-	// WatchShare is the part of a node's requests that watches may use. Each change of any
-	// key ends a watch; the next watch also returns the changes made in between.
+	// WatchShare is the fraction of a node's requests that watches may use. Each change of any key ends
+	// a watch; the next watch also returns the changes made in between.
 	WatchShare = 0.3
 	// MaxStoreInFlight bounds the concurrent requests to the state service.
 	MaxStoreInFlight = 12
-	// MaxStoreQueue bounds the queued requests. Beyond it, all requests except those for
-	// leases are refused, and the callers hold back.
+	// MaxStoreQueue bounds the queued requests. Beyond it, all requests except those for leases are
+	// refused, and the callers retry later.
 	MaxStoreQueue = 2000
 	// ReducedWriteRateHold is how long a node keeps to the announced lower write rate after the
 	// state service refused a write with 429. If the service has really switched to the lower
@@ -124,24 +124,24 @@
 	KnowledgeLogInterval = 10 * time.Second
 	// StoreBackoff is the pause after the state service failed or refused a request.
 	StoreBackoff = 300 * time.Millisecond
-	// StoreBudgetUse is the part of the request and write budgets that the nodes use together. The
+	// StoreBudgetUse is the fraction of the request and write budgets that the nodes use together. The
 	// rest prevents 429 replies while nodes have outdated views of who owns which class.
 	StoreBudgetUse = 0.9
-	// StoreBurstUse is the part of one second's budget that a node may accumulate.
+	// StoreBurstUse is the fraction of one second's budget that a node may accumulate.
 	StoreBurstUse = 0.45
-	// ProgressReserve is the part of the accumulated write budget that writes of done sets
-	// and clean-up leave to writes that users wait for.
+	// ProgressReserve is the fraction of the accumulated write budget that writes of done sets and
+	// clean-up leave to writes that users wait for.
 	ProgressReserve = 0.5
 	// MaxPrepareWait bounds how long jobs that need a record before their first launch are
 	// collected while the write budget is used up. One write then stores the records of many jobs.
 	MaxPrepareWait = time.Second
-	// QueryReserve is the part of the accumulated request budget that queries leave to
-	// submissions and to the owner's writes.
+	// QueryReserve is the fraction of the accumulated request budget that queries leave to submissions
+	// and to the owner's writes.
 	QueryReserve = 0.3
-	// PageFillShare is the part of the largest value size up to which a key with many records is
-	// filled. MaxPageBytes also bounds such a key, because a change of one record writes all
-	// records of the key again. MaxPageTxnBytes bounds the records in one transaction, whose whole
-	// body may have 64 KiB.
+	// PageFillShare is the fraction of the largest value size up to which a key with many records is
+	// filled. MaxPageBytes also bounds such a key, because a change of one record writes all records of
+	// the key again. MaxPageTxnBytes bounds the records in one transaction, whose whole body may have 64
+	// KiB.
 	PageFillShare   = 0.75
 	MaxPageBytes    = 6 << 10
 	MaxPageTxnBytes = 48 << 10
@@ -178,7 +178,7 @@
 	MirrorPageSize = 500
 )
 
-// Links between processes (package reachability).
+// Detection of failed links between processes (package reachability).
 const (
 	// LinkQuantile is the quantile of the measured gaps and latencies that counts as their
 	// usual maximum.
@@ -214,7 +214,7 @@
 	ViewMaxAge   = 3*ViewInterval + PeerTimeout
 )
 
-// Requests of users.
+// Timeouts and limits of user requests.
 const (
 	// SubmitTimeout is how long a submission may wait for the state service before
 	// the user is asked to try again.
@@ -237,7 +237,7 @@
 	CountsInterval = time.Second
 )
 
-// Machines.
+// Renting, monitoring and returning machines, and orders to their workers.
 const (
 	// MaxMissedHeartbeats is the number of heartbeat intervals for which a machine may be silent
 	// before it is deleted to free its tasks. Each interval is counted a quarter longer, because
@@ -258,7 +258,7 @@
 	ProbeSlack        = 500 * time.Millisecond
 	ProbeInterval     = 2 * time.Second
 	MaxProbesInFlight = 96
-	// TakeoverReportedShare is the part of the machines that must have sent the new owner a
+	// TakeoverReportedShare is the fraction of the machines that must have sent the new owner a
 	// heartbeat before the others are presumed dead rather than partitioned.
 	TakeoverReportedShare = 0.6
 	// ForeignArrivalMaxAge is how long a heartbeat that reached a node which doesn't own its class
@@ -273,16 +273,16 @@
 	// TakeoverSettleTime is how long no further machine must have sent a new owner its first
 	// heartbeat before the missing machines are presumed dead.
 	TakeoverSettleTime = time.Second
-	// MassSilenceMinMachines and MassSilenceShare are the number and the part of the on-demand
-	// machines from which a simultaneous silence is treated as a partition or a hang that may end.
-	// If the cloud refused a machine of their kind within RefusalMaxAge, these machines are not
-	// deleted before they have been silent for MassSilenceLeases leases.
+	// MassSilenceMinMachines and MassSilenceShare are the number and the fraction of the on-demand
+	// machines from which a simultaneous silence is treated as a partition or a hang that may end. If
+	// the cloud refused a machine of their kind within RefusalMaxAge, these machines are not deleted
+	// before they have been silent for MassSilenceLeases leases.
 	MassSilenceMinMachines = 3
 	MassSilenceShare       = 0.2
 	MassSilenceLeases      = 2
 	RefusalMaxAge          = 60 * time.Second
-	// BootFactor times the nominal boot time, plus BootSlack, is the time after which a
-	// booting machine is given up.
+	// BootFactor times the nominal boot time, plus BootSlack, is the time after which a booting machine
+	// is considered failed.
 	BootFactor = 2.0
 	// BootSlack is added to the boot time because the cloud's machine lists lag.
 	BootSlack = 10 * time.Second
@@ -299,9 +299,9 @@
 	// checkpoints may take if its job has a deadline. Above it, the task runs on an on-demand
 	// machine if there is a choice.
 	MaxDeadlineSpotRisk = 0.03
-	// MaxSpotRisk is the highest risk of losing its spot machine that a task without checkpoints
-	// may take if its job has no deadline. Above it, the loss of one task in eight costs more than
-	// the on-demand capacity that urgent tasks must then find elsewhere.
+	// MaxSpotRisk is the highest risk of losing its spot machine that a task without checkpoints may
+	// take if its job has no deadline. Above it, the loss of one task in eight costs more than the
+	// on-demand capacity that is otherwise taken from urgent tasks.
 	MaxSpotRisk = 0.12
 	// MaxLateRisk is the highest chance of losing any of its tasks that a job on spot machines
 	// may take if a lost task could not be redone in time. Above it, the job runs on on-demand
@@ -315,7 +315,7 @@
 	RentHorizon = 60 * time.Second
 	// MinUsefulRental is the least time, after its boot, for which a machine is rented.
 	MinUsefulRental = 30 * time.Second
-	// FinishWithMarginShare and FinishOnTimeShare are the parts of the time left until a job's
+	// FinishWithMarginShare and FinishOnTimeShare are the fractions of the time left until a job's
 	// target that its work may take before spot machines, or on-demand machines, respectively, are
 	// rented for it. The rest allows for wrong estimates and failures.
 	FinishWithMarginShare = 0.35
@@ -326,8 +326,8 @@
 	RentBackoff = 6 * time.Second
 	// MaxRentalsPerRequest is the most machines in one request, as the protocol requires.
 	MaxRentalsPerRequest = 50
-	// MaxPlannedRentals bounds the machines that one plan requests. Without it, a job of
-	// 100,000 tasks would be packed onto thousands of machines twice a second.
+	// MaxPlannedRentals bounds the machines that one plan requests. Without this bound, a job of 100,000
+	// tasks would be placed on thousands of planned machines twice a second.
 	MaxPlannedRentals = 100
 	// MaxDeletionsPerRequest is the most machines in one deletion, as the protocol requires.
 	MaxDeletionsPerRequest = 100
@@ -339,7 +339,7 @@
 	// the pause between reads of the machine types and their prices.
 	MachineListInterval  = 5 * time.Second
 	MachineTypesInterval = 30 * time.Second
-	// CloudBudgetUse is the part of the cloud's request budget that is used.
+	// CloudBudgetUse is the fraction of the cloud's request budget that is used.
 	CloudBudgetUse = 0.8
 	// FaultyMachineFailures is how many task failures in a row, of jobs that are not known to
 	// be faulty, make a machine count as faulty.
@@ -361,9 +361,9 @@
 	// each other on a small share of a core; with a lower one, they would wait for machines that do
 	// not answer.
 	MaxDirectOrdersInFlight = 24
-	// OrderConnectionShare is the part of max_sockets that idle connections to workers may use. A
-	// direct order costs 76 us of CPU time on a kept connection, and 198 us on a new one. A
-	// machine in use gets one every half minute or so.
+	// OrderConnectionShare is the fraction of max_sockets that idle connections to workers may use. A
+	// direct order costs 76 us of CPU time on a kept connection, and 198 us on a new one. A machine in
+	// use gets one every half minute or so.
 	OrderConnectionShare = 0.25
 	// OrderBufferBytes is the size of each of the two buffers of a connection to a worker. Most
 	// answers are a heartbeat with a few tasks, and hundreds of connections are kept.
@@ -398,20 +398,20 @@
 	// RecallSlack is the time after the announced time of a recall at which a machine is presumed
 	// gone if it has sent no heartbeat since the recall.
 	RecallSlack = time.Second
-	// MinRemainingShare is the least part of its estimate that a running task is assumed to still
+	// MinRemainingShare is the least fraction of its estimate that a running task is assumed to still
 	// need, however long it has run.
 	MinRemainingShare = 0.2
 	// DrainMargin is the time kept between the end of a task's save and the machine's recall.
 	DrainMargin = 2 * time.Second
 )
 
-// Gangs.
+// Scheduling of gangs.
 const (
 	// GangHoldAge is the age from which resources are held for a gang that fits nowhere.
 	GangHoldAge = 60 * time.Second
-	// GangReserveFactor is the capacity reserved for gangs that should start soon, as a multiple
-	// of the CPUs that such gangs recently requested at one time. MaxGangReserveShare bounds this
-	// capacity as a part of all CPUs. GangDemandHalfLife is the half-life of the recorded demand.
+	// GangReserveFactor is the capacity reserved for gangs that should start soon, as a multiple of the
+	// CPUs that such gangs recently requested at one time. MaxGangReserveShare bounds this capacity as a
+	// fraction of all CPUs. GangDemandHalfLife is the half-life of the recorded demand.
 	GangReserveFactor   = 1.25
 	MaxGangReserveShare = 0.15
 	GangDemandHalfLife  = 60 * time.Second
@@ -428,8 +428,8 @@
 
 // The order in which jobs are scheduled.
 const (
-	// MinRunShare is the part of its estimate that a task is assumed to run at least when
-	// deciding whether a job can still meet a target.
+	// MinRunShare is the fraction of its estimate that a task is assumed to run at least when deciding
+	// whether a job can still meet a target.
 	MinRunShare = 1.0
 	// OverloadHorizon is the backlog from which the load counts as an overload: the time that all
 	// machines would need for the work of the jobs that can still meet a target. Under overload,
@@ -442,9 +442,9 @@
 	// PreemptInterval is the pause between checks for resources to preempt: a start within a
 	// guarantee may take some seconds.
 	PreemptInterval = 500 * time.Millisecond
-	// MaxPreemptShare bounds the machines on which one check may preempt tasks: one machine plus
-	// this part of all machines. Without this bound, tasks that are about to end by themselves
-	// would all be stopped.
+	// MaxPreemptShare bounds the machines on which one check may preempt tasks: one machine plus this
+	// fraction of all machines. Without this bound, tasks that are about to end by themselves would all
+	// be stopped.
 	MaxPreemptShare = 0.1
 	// PreemptSlack plus two heartbeat intervals and the time to save is how long the resources of a
 	// machine are held for the job that waits for them.
@@ -461,12 +461,12 @@
 	// a long task that must end first fit in the rest of the four minutes.
 	StartOverdueAfter    = 120 * time.Second
 	MaxOverdueStartTasks = 2
-	// MaxHeldShare bounds the machines that may be held for overdue jobs: one machine plus this
-	// part of all machines.
+	// MaxHeldShare bounds the machines that may be reserved for overdue jobs: one machine plus this
+	// fraction of all machines.
 	MaxHeldShare = 0.02
 )
 
-// The process.
+// Limits and timeouts of the controller process, its queues and its connections.
 const (
 	// TickInterval is the interval of the event loop's periodic work.
 	TickInterval = 100 * time.Millisecond
@@ -476,12 +476,12 @@
 	// InboxSize bounds the events that wait for the event loop.
 	InboxSize = 1024
 	// QueryQueueSize bounds the users' queries that wait for the event loop. A query waits up to
-	// QueryEnqueueTimeout for room in the queue, and then up to QueryAnswerTimeout for its answer.
-	// Users give up after 2 s, so they are asked to try again before that.
+	// QueryEnqueueTimeout for room in the queue, and then up to QueryAnswerTimeout for its answer. Users
+	// stop waiting after 2 s, so they are asked to try again before that.
 	QueryQueueSize      = 64
 	QueryEnqueueTimeout = 300 * time.Millisecond
 	QueryAnswerTimeout  = 1600 * time.Millisecond
-	// HeapLimitShare is the part of ram_mb that the Go heap may take.
+	// HeapLimitShare is the fraction of ram_mb that the Go heap may take.
 	HeapLimitShare = 0.7
 	// GCPercent is the garbage collector's target: the growth of the heap, in percent of the
 	// live heap, before the next collection. The live heap of an owner of 781 machines is at
@@ -495,7 +495,7 @@
 	PeerTimeout = time.Second
 	// EventLoopTimeout is how long an HTTP handler waits for the event loop.
 	EventLoopTimeout = 3500 * time.Millisecond
-	// SocketReserveShare is the part of max_sockets that users may not use. It is reserved for
+	// SocketReserveShare is the fraction of max_sockets that users may not use. It is reserved for
 	// workers, probes and this node's own connections.
 	SocketReserveShare = 0.4
 	// UserIdleTimeout or IdleHeartbeats heartbeat intervals, whichever is longer, is the time after
@@ -510,8 +510,8 @@
 	ResourceCheckInterval = time.Second
 	// ResourceLogInterval is how often a controller logs its resource use at level info.
 	ResourceLogInterval = 30 * time.Second
-	// BudgetWarningShare is the part of the heap limit or of max_sockets from which a
-	// controller warns. Above 60% of max_sockets, users' connections are already not
-	// kept open; at the heap limit, the garbage collector runs far more often.
+	// BudgetWarningShare is the fraction of the heap limit or of max_sockets from which a controller
+	// warns. Above 60% of max_sockets, users' connections are already not kept open; at the heap limit,
+	// the garbage collector runs far more often.
 	BudgetWarningShare = 0.85
 )
--- a/internal/ownership/extension.go
+++ b/internal/ownership/extension.go
@@ -6,18 +6,19 @@
 	"umberpaddle/internal/limits"
 )
 
-// GrantExtension reports whether this node grants a peer an extension, with which the peer may
-// continue to answer its workers for the given classes and terms. The node grants the extension if
-// it cannot reach the state service either and has no record of a later term of these classes.
-// After a grant, the node takes over no class for limits.GrantTTL. The node has no memory of the
-// time before its process began, so the peer also checks the node's Uptime.
+// GrantExtension reports whether this node grants a peer an extension, with which the peer may continue
+// to answer its workers for the given classes and terms. The node grants the extension if it cannot
+// reach the state service either and has no record of a later term of these classes. After a grant, the
+// node takes over no class for limits.GrantTTL. The node has no record of terms from before its process
+// began, so the peer also checks the node's Uptime.
 func (n *Node) GrantExtension(now time.Duration, terms map[string]uint64) bool {
 	if now > n.now {
 		n.now = now
 	}
 	if !n.store.Mirror.Loaded {
-		// Before the mirror is loaded, this node takes over nothing. But until a request has
-		// failed, nothing indicates that the state service is down for all nodes.
+		// Before the mirror is loaded, this node takes over no class, and can grant an extension. But
+		// until one of its requests has failed, it has no evidence that the state service is down for
+		// all nodes.
 		if n.store.LastFail == 0 {
 			return false
 		}
@@ -26,7 +27,8 @@
 		return false
 	}
 	// Without this check, a deposed owner could get an extension in an outage that began after its
-	// successor took over. The successor still remembers its own term, even after its claim has ended.
+	// successor took over. latestTerms of the successor contains the later term even after the
+	// successor's claim has ended.
 	for class, term := range terms {
 		if n.latestTerms[class] > term {
 			return false
@@ -39,7 +41,8 @@
 	return true
 }
 
-// Uptime returns how long this process has been running, and so how far back its memory reaches.
+// Uptime returns how long this process has been running, and so how far back its record of terms
+// reaches.
 func (n *Node) Uptime() time.Duration { return n.now - n.start }
 
 // RecordExtension records a peer's reply to an extension request that was sent at sent. uptime is the
@@ -53,14 +56,15 @@
 	n.noTakeoverUntil[peer] = max(n.noTakeoverUntil[peer], sent+time.Duration(float64(limits.GrantTTL)*(1-limits.ClockDrift)))
 }
 
-// uptimeCoversGap reports whether a peer with the given uptime would remember having taken over from
+// uptimeCoversGap reports whether a peer with the given uptime would have a record of a takeover from
 // this node. The peer cannot have taken over while this node's lease was valid, or while the peer was
 // bound by an extension that it had granted, in this incarnation or an earlier one. The peer's process
 // must have begun before the later of these times ended. Any successor is one of the peers, so if every
 // peer meets this condition and grants an extension, there is no successor.
 //
-// Without this check, a successor that restarted during an outage and lost its memory would let the
-// previous owner continue, although it had already started that owner's tasks elsewhere.
+// Without this check, a successor that restarted during an outage, and so lost its record of the
+// takeover, would let the previous owner continue, although the successor had already started that
+// owner's tasks elsewhere.
 func (n *Node) uptimeCoversGap(peer string, uptime time.Duration) bool {
 	began := n.now - time.Duration(float64(uptime)*(1-limits.ClockDrift))
 	return began <= max(n.leaseEnd, n.noTakeoverUntil[peer])
--- a/internal/ownership/handover.go
+++ b/internal/ownership/handover.go
@@ -9,10 +9,10 @@
 	"umberpaddle/internal/wire"
 )
 
-// release maps classes that are being handed over to the successor and removes this node's claims
-// to them. All of them go into one transaction if the write limit allows, so that the classes stay
-// together.
-func (n *Node) release(classes []string) {
+// releaseClasses maps the given classes, which are being handed over, to the successor, and removes this
+// node's claims to them. If the write limit allows, it does so in one transaction, so that one node gets
+// all the classes.
+func (n *Node) releaseClasses(classes []string) {
 	next := n.successor()
 	if len(classes) == 0 || next == "" {
 		return
@@ -27,10 +27,10 @@
 	n.submit("release", txn)
 }
 
-// Handover hands all classes over to another node. It is for an owner that its workers cannot reach.
-// The owner stops acting on the classes at once. It chooses the successor itself, because to the leader
-// the owner appears healthy. preferred is a node that the workers reach, or "" if none is known.
-func (n *Node) Handover(preferred string) {
+// HandOver hands all classes over to another node. It is for an owner that its workers cannot reach. The
+// owner stops acting on the classes at once. It chooses the successor itself, because to the leader the
+// owner appears healthy. preferred is a node that the workers reach, or "" if none is known.
+func (n *Node) HandOver(preferred string) {
 	n.preferredSuccessor = preferred
 	next := n.successor()
 	if next == "" || !n.LeaseValid() {
--- a/internal/ownership/mapping.go
+++ b/internal/ownership/mapping.go
@@ -22,9 +22,9 @@
 	}
 }
 
-// elect tries to become the leader if there is none, electionJitter after a leader was last seen. The
-// delay differs between nodes, because competing claims use up the write budget.
-func (n *Node) elect() {
+// claimLeadership tries to make this node the leader if there is none, electionJitter after a leader was
+// last seen. The delay differs between nodes, because competing claims use up the write budget.
+func (n *Node) claimLeadership() {
 	if n.leader.Node != "" {
 		n.retryAt["elect"] = n.now + n.electionJitter
 		return
@@ -35,8 +35,8 @@
 	n.submit(keyLeader, wire.Txn{Guards: []wire.Guard{{Key: keyLeader}}, Then: []wire.Op{{Key: keyLeader, Value: n.ownRecord(), Lease: n.lease}}})
 }
 
-// remap computes the wanted mapping of classes to nodes and writes the entries that differ.
-func (n *Node) remap(classes []string, demand Demand) {
+// remapClasses computes the wanted mapping of classes to nodes and writes the entries that differ.
+func (n *Node) remapClasses(classes []string, demand Demand) {
 	alive := map[string]bool{n.Name: true}
 	for name := range n.nodes {
 		alive[name] = true
@@ -57,7 +57,7 @@
 	for class, rec := range n.owners {
 		owner[class] = rec.Node
 	}
-	want := Assign(RDUCs(demand), all, owner, alive, n.Name)
+	want := AssignClasses(RDUCs(demand), all, owner, alive, n.Name)
 	names := make([]string, 0, len(want))
 	for class := range want {
 		names = append(names, class)
@@ -77,15 +77,15 @@
 	}
 }
 
-// Format returns the newest record format that every node reads. Until an upgrade is complete, this is
-// the format of the previous version, so that no node misreads a record or drops unknown fields when it
-// rewrites one.
-func (n *Node) Format() int { return n.format }
+// RecordFormat returns the newest record format that every node reads. Until an upgrade is complete,
+// this is the format of the previous version, so that no node misreads a record or drops unknown fields
+// when it rewrites one.
+func (n *Node) RecordFormat() int { return n.recordFormat }
 
 // raiseFormat is for the leader. Once all nodes have registered with the present format, it records that
 // every node reads this format. It relies on no node being downgraded afterwards.
 func (n *Node) raiseFormat() {
-	if n.format >= limits.RecordFormat || n.nodes[n.Name].Format < limits.RecordFormat {
+	if n.recordFormat >= limits.RecordFormat || n.nodes[n.Name].Format < limits.RecordFormat {
 		return
 	}
 	for _, peer := range n.peers {
@@ -116,9 +116,10 @@
 			break
 		}
 		key := keyOwner + keySegment(class)
-		// From here on, GrantExtension refuses the previous owner. Without this line, the previous
-		// owner could be granted an extension while this claim is in flight. If the claim is then
-		// executed late, the next incarnation of this node, being the last owner, acts on it at once.
+		// From here on, GrantExtension refuses the previous owner. Without this line, the previous owner
+		// could be granted an extension while this claim is in flight. If this process then ended, the
+		// late claim would make this node the last owner, and its next incarnation would take the class
+		// over without waiting for the end of the extension (see earlierGrantsEnded).
 		n.latestTerms[class] = max(n.latestTerms[class], n.store.Mirror.Revision)
 		txn.Guards = append(txn.Guards, wire.Guard{Key: key}, wire.Guard{Key: keyMapping + keySegment(class), Version: mapped.version})
 		txn.Then = append(txn.Then, wire.Op{Key: key, Value: n.ownRecord(), Lease: n.lease})
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -1,7 +1,8 @@
-// Package ownership decides which controller acts for which machine class. It keeps this node's
-// lease at the state service, elects a leader, which maps RDUCs (clusters of machine classes) to
-// owners, claims classes and tracks the terms of the claims. During an outage of the state service, an
-// owner continues under extensions: each peer permits it to continue and takes over no class meanwhile.
+// Package ownership decides which controller acts for which machine class. It keeps this node's lease at
+// the state service, elects a leader, which maps groups of machine classes (RDUCs, see the function of
+// that name) to owners, claims classes and tracks the terms of the claims. During an outage of the state
+// service, an owner continues under extensions: each peer permits it to continue and takes over no class
+// meanwhile.
 //
 // All ownership is derived from the mirror of the state service: this node owns a class once the
 // mirror shows its claim, and the version of the claim is the term. A claim that got no reply or was
@@ -32,7 +33,7 @@
 	keyFormat    = statestore.Root + "format"
 )
 
-// nodeRecord is the value of all these keys. Each key uses only some of the fields.
+// nodeRecord is the value of all ownership keys. Each key uses only some of the fields.
 type nodeRecord struct {
 	Node        string `msgpack:"n"`
 	Incarnation uint64 `msgpack:"i"`
@@ -40,7 +41,7 @@
 	// HandedOver marks a mapping that the previous owner wrote itself, in a handover.
 	HandedOver bool `msgpack:"h,omitempty"`
 	// Format is, under a node key, the newest record format that the node's version reads. Under
-	// keyFormat it is a format that all nodes of the service could read at one time.
+	// keyFormat it is a format that all nodes could read when it was recorded.
 	Format int `msgpack:"f,omitempty"`
 }
 
@@ -75,7 +76,7 @@
 	leaseRequested bool
 	nextRenewal    time.Duration
 
-	format       int // newest record format that may be written
+	recordFormat int // newest record format that may be written
 	leader       versionedRecord
 	nodes        map[string]versionedRecord // by node
 	mapping      map[string]versionedRecord // class -> node that should own it
@@ -148,7 +149,7 @@
 	}
 	switch {
 	case change.Key == keyFormat:
-		n.format = max(n.format, rec.Format)
+		n.recordFormat = max(n.recordFormat, rec.Format)
 	case change.Key == keyLeader:
 		if rec.Node != n.leader.Node || rec.Incarnation != n.leader.Incarnation {
 			n.log(slog.LevelInfo, "leader changed", "leader", rec.Node, "before", n.leader.Node, "term", rec.version)
@@ -188,9 +189,9 @@
 // Claims returns the classes that this process owns, whether or not it may act on them right now.
 func (n *Node) Claims() map[string]*Claim { return n.claims }
 
-// MayLaunch reports whether an owner may start work and act on its claims. It may do so under
-// extensions too: the machines and jobs were recorded before the outage, so a successor waits for
-// tasks launched during it as for all others.
+// MayLaunch reports whether an owner may start work and act on its claims. It may do so under extensions
+// too: the machines and jobs were recorded before the outage, so a successor waits for the tasks
+// launched during the outage as for all others.
 func (n *Node) MayLaunch() bool { return n.MayAnswer() }
 
 // MayAnswer reports whether an owner may answer its workers. Its information about cancelled jobs
@@ -216,8 +217,8 @@
 	return true
 }
 
-// AnswerDeadline returns the time, as far as is known now, until which an owner that may answer its
-// workers may continue to do so.
+// AnswerDeadline returns the time until which an owner that may answer its workers may continue to do
+// so. A renewal of the lease or of the extensions makes the time later.
 func (n *Node) AnswerDeadline() time.Duration {
 	staleAt := n.CancellationsKnownThrough() + n.MaxStaleness
 	if n.LeaseValid() {
@@ -253,9 +254,9 @@
 	return owners
 }
 
-// Guard returns the condition that every write by the owner of class carries. Its version is 0 if this
-// process does not own the class.
-func (n *Node) Guard(class string) wire.Guard {
+// OwnerGuard returns the condition that every write by the owner of class carries. Its version is 0 if
+// this process does not own the class.
+func (n *Node) OwnerGuard(class string) wire.Guard {
 	var term uint64
 	if claim := n.claims[class]; claim != nil {
 		term = claim.Term
@@ -290,10 +291,10 @@
 		return
 	}
 	n.registerNode()
-	n.elect()
+	n.claimLeadership()
 	if n.IsLeader() && n.now >= n.nextRemap && len(classes) > 0 {
 		n.nextRemap = n.now + limits.RemapInterval
-		n.remap(classes, demand())
+		n.remapClasses(classes, demand())
 		n.raiseFormat()
 	}
 	n.claimClasses()
@@ -354,7 +355,7 @@
 		n.claims[class] = &Claim{Class: class, Term: rec.version, Since: n.now}
 		n.log(slog.LevelInfo, "class taken over", "class", class, "term", rec.version)
 	}
-	n.release(handedOver)
+	n.releaseClasses(handedOver)
 }
 
 func (n *Node) ownRecord() nodeRecord {
--- a/internal/ownership/rduc.go
+++ b/internal/ownership/rduc.go
@@ -48,13 +48,14 @@
 	return queue
 }
 
-// Assign maps every class to a node. groups are the RDUCs, classes all known classes, owner the present
-// owner of each class or, if it has none, the node to which it is mapped, and alive the live nodes.
+// AssignClasses maps every class to a node. groups are the RDUCs, classes all known classes, owner the
+// present owner of each class or, if it has none, the node to which it is mapped, and alive the live
+// nodes.
 //
 // An RDUC stays with its owner; if it has several owners, the live one that has most of its classes gets
 // all of them. An RDUC without a live owner goes to the node with the fewest RDUCs, the leader on a tie.
 // A class without demand stays with its live owner, or else goes to the leader.
-func Assign(groups [][]string, classes []string, owner map[string]string, alive map[string]bool, leader string) map[string]string {
+func AssignClasses(groups [][]string, classes []string, owner map[string]string, alive map[string]bool, leader string) map[string]string {
 	result := map[string]string{}
 	load := map[string]int{}
 	assign := func(group []string, node string) {
--- a/internal/ownership/rduc_test.go
+++ b/internal/ownership/rduc_test.go
@@ -27,12 +27,12 @@
 func TestAssignKeepsOwnersAndMergesTowardsTheMajority(t *testing.T) {
 	alive := set("a", "b", "c")
 	owner := map[string]string{"x": "b", "y": "b", "z": "c", "idle": "c", "lost": "dead"}
-	got := Assign([][]string{{"x", "y", "z"}}, []string{"x", "y", "z", "idle", "lost", "new"}, owner, alive, "a")
+	got := AssignClasses([][]string{{"x", "y", "z"}}, []string{"x", "y", "z", "idle", "lost", "new"}, owner, alive, "a")
 	want := map[string]string{"x": "b", "y": "b", "z": "b", "idle": "c", "lost": "a", "new": "a"}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
-	got = Assign([][]string{{"x"}, {"y"}}, []string{"x", "y"}, map[string]string{"x": "dead", "y": "a"}, alive, "a")
+	got = AssignClasses([][]string{{"x"}, {"y"}}, []string{"x", "y"}, map[string]string{"x": "dead", "y": "a"}, alive, "a")
 	if got["x"] != "b" || got["y"] != "a" {
 		t.Errorf("got %v, want the group without a live owner on the least loaded node", got)
 	}
--- a/internal/reachability/detector.go
+++ b/internal/reachability/detector.go
@@ -41,11 +41,11 @@
 		gaps: newSketch(settings.Quantile), latencies: newSketch(settings.Quantile), outstanding: map[uint64]time.Duration{}, state: Unknown, stateSince: now}
 }
 
-// sent records a request.
-func (d *detector) sent(id uint64, now time.Duration) { d.outstanding[id] = now }
+// recordSent records the time of a request that has no answer yet.
+func (d *detector) recordSent(id uint64, now time.Duration) { d.outstanding[id] = now }
 
-// answered records an answer; refused means that the other side rejected the request.
-func (d *detector) answered(id uint64, now time.Duration, refused bool) {
+// recordAnswer records an answer; refused means that the other side rejected the request.
+func (d *detector) recordAnswer(id uint64, now time.Duration, refused bool) {
 	sentAt, ok := d.outstanding[id]
 	if !ok {
 		return
@@ -65,8 +65,8 @@
 	}
 }
 
-// lost records that a request got no answer before its timeout.
-func (d *detector) lost(id uint64) {
+// recordLost records that a request got no answer before its timeout.
+func (d *detector) recordLost(id uint64) {
 	sentAt, ok := d.outstanding[id]
 	if !ok {
 		return
@@ -81,8 +81,8 @@
 	}
 }
 
-// received records an unsolicited message.
-func (d *detector) received(now time.Duration) {
+// recordReceived records an unsolicited message and the gap before it.
+func (d *detector) recordReceived(now time.Duration) {
 	if d.lastMessageAt > 0 && now >= d.lastMessageAt && !d.irregular {
 		d.recordGap(now - d.lastMessageAt)
 	}
@@ -140,8 +140,8 @@
 	return d.maxHold + time.Duration(float64(latency)*d.settings.SuspectFactor) + d.settings.Slack
 }
 
-// silentFor returns the time since the last unsolicited message, or 0 if no such message has arrived yet
-// or is expected.
+// silentFor returns the time since the last unsolicited message, or 0 if none has arrived yet or none is
+// expected.
 func (d *detector) silentFor(now time.Duration) time.Duration {
 	if d.lastMessageAt == 0 || d.overdueGap() == 0 {
 		return 0
@@ -188,7 +188,8 @@
 	return directionDown
 }
 
-// inboundState returns the state of the direction to this controller, from unsolicited messages.
+// inboundState returns the state of the direction from the other side to this controller, derived from
+// unsolicited messages.
 func (d *detector) inboundState(now time.Duration) directionState {
 	if d.irregular && d.lastMessageAt > 0 {
 		return directionGood
@@ -199,8 +200,8 @@
 	return d.classifySilence(d.silentFor(now), d.overdueGap())
 }
 
-// outboundState returns the state of the direction from this controller, from the answers to its
-// requests.
+// outboundState returns the state of the direction from this controller to the other side, derived from
+// the answers to requests.
 func (d *detector) outboundState(now time.Duration) directionState {
 	if d.lastAnswerAt == 0 && d.consecutiveLosses == 0 {
 		return directionUnknown
--- a/internal/reachability/monitor.go
+++ b/internal/reachability/monitor.go
@@ -73,28 +73,28 @@
 	return d
 }
 
-// Sent records a request over a link. The caller chooses id, which must be unique for the link.
-func (m *Monitor) Sent(link Link, id uint64, now time.Duration) {
+// RecordSent records a request over a link. The caller chooses id, which must be unique for the link.
+func (m *Monitor) RecordSent(link Link, id uint64, now time.Duration) {
 	m.advance(now)
-	m.detector(link).sent(id, now)
+	m.detector(link).recordSent(id, now)
 }
 
-// Answered records the answer to a request; refused means that the other side rejected the request.
-func (m *Monitor) Answered(link Link, id uint64, now time.Duration, refused bool) {
+// RecordAnswer records the answer to a request; refused means that the other side rejected the request.
+func (m *Monitor) RecordAnswer(link Link, id uint64, now time.Duration, refused bool) {
 	m.advance(now)
-	m.detector(link).answered(id, now, refused)
+	m.detector(link).recordAnswer(id, now, refused)
 }
 
-// Lost records that a request got no answer before its timeout.
-func (m *Monitor) Lost(link Link, id uint64, now time.Duration) {
+// RecordLost records that a request got no answer before its timeout.
+func (m *Monitor) RecordLost(link Link, id uint64, now time.Duration) {
 	m.advance(now)
-	m.detector(link).lost(id)
+	m.detector(link).recordLost(id)
 }
 
-// Received records an unsolicited message.
-func (m *Monitor) Received(link Link, now time.Duration) {
+// RecordReceived records an unsolicited message.
+func (m *Monitor) RecordReceived(link Link, now time.Duration) {
 	m.advance(now)
-	m.detector(link).received(now)
+	m.detector(link).recordReceived(now)
 }
 
 // ExcludePause excludes a pause of this process from all measured silences: messages that arrived
--- a/internal/reachability/monitor_test.go
+++ b/internal/reachability/monitor_test.go
@@ -76,13 +76,13 @@
 	if sim.now >= sim.nextMessage {
 		sim.nextMessage = sim.now + sim.drawGap()
 		if sim.inboundOpen {
-			sim.monitor.Received(sim.link, sim.now)
+			sim.monitor.RecordReceived(sim.link, sim.now)
 		}
 	}
 	if sim.now >= sim.nextRequest {
 		sim.nextRequest = sim.now + requestInterval
 		sim.nextID++
-		sim.monitor.Sent(sim.link, sim.nextID, sim.now)
+		sim.monitor.RecordSent(sim.link, sim.nextID, sim.now)
 		reply := pendingReply{id: sim.nextID, dueAt: sim.now + sim.drawLatency()}
 		if !sim.outboundOpen || !sim.inboundOpen {
 			reply = pendingReply{id: sim.nextID, dueAt: sim.now + requestTimeout, lost: true}
@@ -95,9 +95,9 @@
 		case sim.now < reply.dueAt:
 			remaining = append(remaining, reply)
 		case reply.lost:
-			sim.monitor.Lost(sim.link, reply.id, sim.now)
+			sim.monitor.RecordLost(sim.link, reply.id, sim.now)
 		default:
-			sim.monitor.Answered(sim.link, reply.id, sim.now, sim.refusing)
+			sim.monitor.RecordAnswer(sim.link, reply.id, sim.now, sim.refusing)
 		}
 	}
 	sim.pending = remaining
@@ -283,10 +283,10 @@
 	sim.run(40 * time.Second)
 	sim.nextID++
 	lateID := sim.nextID
-	sim.monitor.Sent(sim.link, lateID, sim.now)
+	sim.monitor.RecordSent(sim.link, lateID, sim.now)
 	sim.outboundOpen = false
 	sim.runUntil(HeardOnly, 8*time.Second)
-	sim.monitor.Answered(sim.link, lateID, sim.now, false)
+	sim.monitor.RecordAnswer(sim.link, lateID, sim.now, false)
 	sim.run(simulationStep)
 	if sim.state() != HeardOnly {
 		t.Errorf("the link is %s after a late answer to a request from before the failure, want heard-only", sim.state())
--- a/internal/reachability/sketch.go
+++ b/internal/reachability/sketch.go
@@ -24,7 +24,7 @@
 	histogram     *hdrhistogram.WindowedHistogram
 	merged        *hdrhistogram.Histogram
 	mergedStale   bool // samples were recorded since merged was computed
-	samples       [sketchWindows]int
+	sampleCounts  [sketchWindows]int
 	currentWindow int
 	// usualMax is the usual maximum: the quantile usualQuantile of the samples as of the last refresh;
 	// 0: too few samples.
@@ -41,7 +41,7 @@
 	ms := min(max(d.Milliseconds(), sketchMinMS), sketchMaxMS)
 	// RecordValue fails only for a value out of bounds, and ms is within them.
 	_ = s.histogram.Current.RecordValue(ms)
-	s.samples[s.currentWindow]++
+	s.sampleCounts[s.currentWindow]++
 	s.mergedStale = true
 	if s.usualMax == 0 && s.count() == minSamples {
 		s.refresh()
@@ -51,19 +51,19 @@
 // rotate drops the oldest window, but only once the current one has minSamples. A link with little
 // traffic is judged by old samples rather than by too few.
 func (s *sketch) rotate() {
-	if s.samples[s.currentWindow] < minSamples {
+	if s.sampleCounts[s.currentWindow] < minSamples {
 		return
 	}
 	s.histogram.Rotate()
 	s.currentWindow = (s.currentWindow + 1) % sketchWindows
-	s.samples[s.currentWindow] = 0
+	s.sampleCounts[s.currentWindow] = 0
 	s.mergedStale = true
 }
 
 // count returns the number of durations in the sketch.
 func (s *sketch) count() int {
 	total := 0
-	for _, count := range s.samples {
+	for _, count := range s.sampleCounts {
 		total += count
 	}
 	return total
--- a/internal/reachability/view_test.go
+++ b/internal/reachability/view_test.go
@@ -86,7 +86,7 @@
 	run := func(d time.Duration, arrives bool) {
 		for end := now + d; now < end; now += 250 * time.Millisecond {
 			if arrives {
-				monitor.Received(link, now)
+				monitor.RecordReceived(link, now)
 			}
 			monitor.Tick(now)
 		}
--- a/internal/statestore/mirror.go
+++ b/internal/statestore/mirror.go
@@ -116,7 +116,7 @@
 	hold := limits.WatchHold
 	path := fmt.Sprintf("/watch?starts=%s&since=%d&holdMs=%d", url.QueryEscape(Root), m.Revision, hold.Milliseconds())
 	m.store.requestBucket.level--
-	m.store.send(&request{method: "GET", path: path, done: m.handleWatchReply}, hold+limits.StoreTimeout)
+	m.store.queueCall(&request{method: "GET", path: path, done: m.handleWatchReply}, hold+limits.StoreTimeout)
 }
 
 func (m *Mirror) retryLater() {
@@ -133,27 +133,27 @@
 		return
 	}
 	m.requestInFlight = false
-	load := m.loading
-	if load.lastKey == "" {
+	read := m.loading
+	if read.lastKey == "" {
 		// The watch starts from the first page's revision. It reports again what
 		// changed while the later pages were read; set and remove ignore old versions.
-		load.revision, load.startedAt = rows.Revision, r.SentAt
+		read.revision, read.startedAt = rows.Revision, r.SentAt
 	}
 	for _, row := range rows.Entries {
-		load.seen[row.Key] = true
+		read.seen[row.Key] = true
 		m.set(row.Key, Entry{row.Value, row.Version})
-		load.lastKey = row.Key
+		read.lastKey = row.Key
 	}
 	if rows.More && len(rows.Entries) > 0 {
 		return
 	}
 	for k, e := range m.keys {
-		if !load.seen[k] {
+		if !read.seen[k] {
 			m.remove(k, e.Version)
 		}
 	}
-	m.Revision = load.revision
-	m.KnownThrough = max(m.KnownThrough, load.startedAt)
+	m.Revision = read.revision
+	m.KnownThrough = max(m.KnownThrough, read.startedAt)
 	m.loading = nil
 	m.Loaded = true
 	m.FullReads++
--- a/internal/statestore/record_table.go
+++ b/internal/statestore/record_table.go
@@ -26,14 +26,14 @@
 	maxPageBytes  int                           // most bytes of records in one page
 	guard         func(class string) wire.Guard // of the class's ownership; version 0: not owned by this node
 	apply         func(id, class string, value msgpack.RawMessage, removed bool)
-	pages         map[string]*page // by key
-	pageOf        map[string]*page // by record ID
+	pages         map[string]*tablePage // by key
+	pageOf        map[string]*tablePage // by record ID
 	writeInFlight bool
 	pausedUntil   time.Duration // no transaction before this
 }
 
-// page is one key of a record table, with the records stored under the key.
-type page struct {
+// tablePage is one key of a record table, with the records stored under the key.
+type tablePage struct {
 	class   string
 	key     string
 	version uint64
@@ -55,25 +55,25 @@
 // if this node does not own the class.
 func NewRecordTable(s *Store, prefix string, guard func(class string) wire.Guard, apply func(id, class string, value msgpack.RawMessage, removed bool)) *RecordTable {
 	return &RecordTable{store: s, prefix: prefix, maxPageBytes: min(int(s.MaxValueBytes*limits.PageFillShare), limits.MaxPageBytes), guard: guard, apply: apply,
-		pages: map[string]*page{}, pageOf: map[string]*page{}}
+		pages: map[string]*tablePage{}, pageOf: map[string]*tablePage{}}
 }
 
 // recordSize estimates the bytes of a record in JSON, the form in which the state service
 // measures its limits.
 func recordSize(id string, value msgpack.RawMessage) int { return len(id) + 2*len(value) + 8 }
 
-// page returns the page of a key. It creates the page if there is none.
-func (t *RecordTable) page(key string) *page {
-	pg := t.pages[key]
-	if pg == nil {
+// getOrAddPage returns the page of a key. It adds the page if there is none.
+func (t *RecordTable) getOrAddPage(key string) *tablePage {
+	page := t.pages[key]
+	if page == nil {
 		class, _, _ := strings.Cut(strings.TrimPrefix(key, t.prefix), "/")
 		if unescaped, err := url.PathUnescape(class); err == nil {
 			class = unescaped
 		}
-		pg = &page{class: class, key: key, stored: map[string]msgpack.RawMessage{}, pending: map[string]pendingRecord{}}
-		t.pages[key] = pg
+		page = &tablePage{class: class, key: key, stored: map[string]msgpack.RawMessage{}, pending: map[string]pendingRecord{}}
+		t.pages[key] = page
 	}
-	return pg
+	return page
 }
 
 // Apply updates the table from a change of the mirror.
@@ -85,46 +85,47 @@
 	if !change.Removed && wire.Decode(change.Entry.Value, &records) != nil {
 		return
 	}
-	pg := t.page(change.Key)
-	pg.version = change.Entry.Version
+	page := t.getOrAddPage(change.Key)
+	page.version = change.Entry.Version
 	if change.Removed {
-		pg.version = 0
+		page.version = 0
 	}
-	before := pg.stored
-	pg.stored = records
+	before := page.stored
+	page.stored = records
 	for _, id := range slices.Sorted(maps.Keys(before)) {
-		if _, ok := records[id]; !ok && t.pageOf[id] == pg {
-			t.applyRemoval(pg, id)
+		if _, ok := records[id]; !ok && t.pageOf[id] == page {
+			t.applyRemoval(page, id)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(records)) {
 		value := records[id]
-		if wanted, ok := pg.pending[id]; ok && bytes.Equal(wanted.value, value) {
-			delete(pg.pending, id)
+		if wanted, ok := page.pending[id]; ok && bytes.Equal(wanted.value, value) {
+			delete(page.pending, id)
 		}
-		if oldPage := t.pageOf[id]; oldPage != nil && oldPage != pg {
-			t.applyMove(oldPage, pg, id, value)
+		if oldPage := t.pageOf[id]; oldPage != nil && oldPage != page {
+			t.applyMove(oldPage, page, id, value)
 		}
-		t.pageOf[id] = pg
+		t.pageOf[id] = page
 		if old, ok := before[id]; !ok || !bytes.Equal(old, value) {
-			t.apply(id, pg.class, value, false)
+			t.apply(id, page.class, value, false)
 		}
 	}
-	t.updateSize(pg)
+	t.updateSize(page)
 }
 
-// applyRemoval handles a record that is no longer in its page.
-func (t *RecordTable) applyRemoval(pg *page, id string) {
-	if wanted, ok := pg.pending[id]; !ok || wanted.value == nil {
+// applyRemoval removes a record that is no longer in its page from the table, unless a pending change
+// writes the record again, and reports the removal to apply.
+func (t *RecordTable) applyRemoval(page *tablePage, id string) {
+	if wanted, ok := page.pending[id]; !ok || wanted.value == nil {
 		delete(t.pageOf, id)
-		delete(pg.pending, id)
+		delete(page.pending, id)
 	}
-	t.apply(id, pg.class, nil, true)
+	t.apply(id, page.class, nil, true)
 }
 
-// applyMove handles a record that has moved to another page. A pending change of the
-// record moves with it.
-func (t *RecordTable) applyMove(from, to *page, id string, value msgpack.RawMessage) {
+// applyMove moves the pending change of a record, if there is one, to the page in which the record now
+// is. A change that is already stored there is dropped.
+func (t *RecordTable) applyMove(from, to *tablePage, id string, value msgpack.RawMessage) {
 	wanted, ok := from.pending[id]
 	if !ok {
 		return
@@ -138,25 +139,25 @@
 	t.updateSize(from)
 }
 
-// Stored returns a record as it is in the mirror.
-func (t *RecordTable) Stored(id string) (msgpack.RawMessage, bool) {
-	if pg := t.pageOf[id]; pg != nil {
-		value, ok := pg.stored[id]
+// StoredValue returns a record as it is in the mirror.
+func (t *RecordTable) StoredValue(id string) (msgpack.RawMessage, bool) {
+	if page := t.pageOf[id]; page != nil {
+		value, ok := page.stored[id]
 		return value, ok
 	}
 	return nil, false
 }
 
-func (t *RecordTable) updateSize(pg *page) {
-	pg.size = 0
-	for id, value := range pg.stored {
-		if _, ok := pg.pending[id]; !ok {
-			pg.size += recordSize(id, value)
+func (t *RecordTable) updateSize(page *tablePage) {
+	page.size = 0
+	for id, value := range page.stored {
+		if _, ok := page.pending[id]; !ok {
+			page.size += recordSize(id, value)
 		}
 	}
-	for id, wanted := range pg.pending {
+	for id, wanted := range page.pending {
 		if wanted.value != nil {
-			pg.size += recordSize(id, wanted.value)
+			page.size += recordSize(id, wanted.value)
 		}
 	}
 }
@@ -168,8 +169,8 @@
 	t.set(class, id, value, wait, wait == 0)
 }
 
-// SetUrgent is Set for a record that is urgent even though its write may be delayed by
-// up to wait.
+// SetUrgent requests that an urgent record is written. The write may be delayed by up to wait, as with
+// Set.
 func (t *RecordTable) SetUrgent(class, id string, value any, wait time.Duration) {
 	t.set(class, id, value, wait, true)
 }
@@ -179,115 +180,116 @@
 	if err != nil {
 		return
 	}
-	pg := t.pageOf[id]
-	if pg == nil {
-		pg = t.pageWithRoom(class, recordSize(id, raw))
-		t.pageOf[id] = pg
+	page := t.pageOf[id]
+	if page == nil {
+		page = t.pageWithRoom(class, recordSize(id, raw))
+		t.pageOf[id] = page
 	}
-	t.setPending(pg, id, raw, wait, urgent)
+	t.setPending(page, id, raw, wait, urgent)
 }
 
-// Remove requests that a record is removed. wait is as for Set.
+// Remove requests that a record is removed. The write may be delayed by up to wait; with wait 0 it is
+// urgent.
 func (t *RecordTable) Remove(id string, wait time.Duration) {
-	if pg := t.pageOf[id]; pg != nil {
-		t.setPending(pg, id, nil, wait, wait == 0)
+	if page := t.pageOf[id]; page != nil {
+		t.setPending(page, id, nil, wait, wait == 0)
 	}
 }
 
 // setPending makes value the pending value of a record in its page; nil removes the record.
-func (t *RecordTable) setPending(pg *page, id string, value msgpack.RawMessage, wait time.Duration, urgent bool) {
-	if old, ok := pg.pending[id]; ok {
-		if bytes.Equal(old.value, value) && (!urgent || pg.urgent) {
+func (t *RecordTable) setPending(page *tablePage, id string, value msgpack.RawMessage, wait time.Duration, urgent bool) {
+	if old, ok := page.pending[id]; ok {
+		if bytes.Equal(old.value, value) && (!urgent || page.urgent) {
 			return
 		}
 		if old.value != nil {
-			pg.size -= recordSize(id, old.value)
+			page.size -= recordSize(id, old.value)
 		}
-	} else if old, ok := pg.stored[id]; ok {
+	} else if old, ok := page.stored[id]; ok {
 		if value != nil && bytes.Equal(old, value) {
 			return
 		}
-		pg.size -= recordSize(id, old)
+		page.size -= recordSize(id, old)
 	}
 	if value != nil {
-		pg.size += recordSize(id, value)
+		page.size += recordSize(id, value)
 	}
-	if at := t.store.now + wait; len(pg.pending) == 0 || at < pg.due {
-		pg.due = at
+	if at := t.store.now + wait; len(page.pending) == 0 || at < page.due {
+		page.due = at
 	}
-	pg.urgent = pg.urgent || urgent
-	pg.pending[id] = pendingRecord{value}
+	page.urgent = page.urgent || urgent
+	page.pending[id] = pendingRecord{value}
 }
 
 // pageWithRoom returns a page of a class that has room for a new record.
-func (t *RecordTable) pageWithRoom(class string, size int) *page {
+func (t *RecordTable) pageWithRoom(class string, size int) *tablePage {
 	for n := 0; ; n++ {
-		pg := t.page(t.prefix + url.PathEscape(class) + "/" + strconv.Itoa(n))
-		if pg.size+size <= t.maxPageBytes || pg.size == 0 {
-			return pg
+		page := t.getOrAddPage(t.prefix + url.PathEscape(class) + "/" + strconv.Itoa(n))
+		if page.size+size <= t.maxPageBytes || page.size == 0 {
+			return page
 		}
 	}
 }
 
 // DropPending drops the pending changes of a class that this node no longer owns.
 func (t *RecordTable) DropPending(class string) {
-	for _, pg := range t.pages {
-		if pg.class != class {
+	for _, page := range t.pages {
+		if page.class != class {
 			continue
 		}
-		for id := range pg.pending {
-			if _, ok := pg.stored[id]; !ok && t.pageOf[id] == pg {
+		for id := range page.pending {
+			if _, ok := page.stored[id]; !ok && t.pageOf[id] == page {
 				delete(t.pageOf, id)
 			}
 		}
-		clear(pg.pending)
-		pg.urgent = false
-		t.updateSize(pg)
+		clear(page.pending)
+		page.urgent = false
+		t.updateSize(page)
 	}
 }
 
 // movedPart is a set of records that move to another page when a page is split.
 type movedPart struct {
-	page    *page
+	page    *tablePage
 	records map[string]msgpack.RawMessage
 }
 
 // records returns the records of a page as they are once its pending changes are written.
-func (pg *page) records() map[string]msgpack.RawMessage {
-	recs := maps.Clone(pg.stored)
-	for id, wanted := range pg.pending {
+func (page *tablePage) records() map[string]msgpack.RawMessage {
+	records := maps.Clone(page.stored)
+	for id, wanted := range page.pending {
 		if wanted.value == nil {
-			delete(recs, id)
+			delete(records, id)
 		} else {
-			recs[id] = wanted.value
+			records[id] = wanted.value
 		}
 	}
-	return recs
+	return records
 }
 
 // split assigns the records that exceed a page's limit to unused pages. It returns only
 // those records.
-func (t *RecordTable) split(pg *page, recs map[string]msgpack.RawMessage) (parts []movedPart) {
+func (t *RecordTable) split(page *tablePage, records map[string]msgpack.RawMessage) (parts []movedPart) {
 	size, n := 0, 0
 	var last *movedPart
-	for _, id := range slices.Sorted(maps.Keys(recs)) {
-		recSize := recordSize(id, recs[id])
-		if size+recSize <= t.maxPageBytes || size == 0 {
-			size += recSize
+	for _, id := range slices.Sorted(maps.Keys(records)) {
+		bytesNeeded := recordSize(id, records[id])
+		if size+bytesNeeded <= t.maxPageBytes || size == 0 {
+			size += bytesNeeded
 			if last != nil {
-				last.records[id] = recs[id]
+				last.records[id] = records[id]
 			}
 			continue
 		}
 		for ; ; n++ {
-			unused := t.page(t.prefix + url.PathEscape(pg.class) + "/" + strconv.Itoa(n))
+			unused := t.getOrAddPage(t.prefix + url.PathEscape(page.class) + "/" + strconv.Itoa(n))
 			if unused.version == 0 && len(unused.stored) == 0 && len(unused.pending) == 0 {
 				n++
-				parts = append(parts, movedPart{unused, map[string]msgpack.RawMessage{id: recs[id]}})
+				parts = append(parts, movedPart{unused, map[string]msgpack.RawMessage{id: records[id]}})
 				break
 			}
 		}
-		last, size = &parts[len(parts)-1], recSize
+		last, size = &parts[len(parts)-1], bytesNeeded
 	}
 	return parts
 }
@@ -295,20 +297,20 @@
 // tableWrite is a transaction under construction. txn.Then[i] writes pages[i].
 type tableWrite struct {
 	txn            wire.Txn
-	pages          []*page
+	pages          []*tablePage
 	size           int             // bytes of the records
 	guardedClasses map[string]bool // classes whose ownership guard is in the transaction
 }
 
 // add adds a page's records to the transaction. It reports whether they could be encoded.
-func (w *tableWrite) add(pg *page, records map[string]msgpack.RawMessage) bool {
+func (w *tableWrite) add(page *tablePage, records map[string]msgpack.RawMessage) bool {
 	raw, err := wire.Encode(records)
 	if err != nil {
 		return false
 	}
-	w.txn.Guards = append(w.txn.Guards, wire.Guard{Key: pg.key, Version: pg.version})
-	w.txn.Then = append(w.txn.Then, wire.Op{Key: pg.key, Value: msgpack.RawMessage(raw)})
-	w.pages = append(w.pages, pg)
+	w.txn.Guards = append(w.txn.Guards, wire.Guard{Key: page.key, Version: page.version})
+	w.txn.Then = append(w.txn.Then, wire.Op{Key: page.key, Value: msgpack.RawMessage(raw)})
+	w.pages = append(w.pages, page)
 	return true
 }
 
@@ -319,21 +321,21 @@
 		return
 	}
 	urgent := false
-	for _, pg := range t.pages {
-		urgent = urgent || pg.urgent && len(pg.pending) > 0 && t.store.now >= pg.due
+	for _, page := range t.pages {
+		urgent = urgent || page.urgent && len(page.pending) > 0 && t.store.now >= page.due
 	}
 	w := &tableWrite{guardedClasses: map[string]bool{}}
 	for _, key := range slices.Sorted(maps.Keys(t.pages)) {
-		pg := t.pages[key]
-		if !t.mayWrite(pg, w, urgent) {
+		page := t.pages[key]
+		if !t.mayWrite(page, w, urgent) {
 			continue
 		}
-		if split := t.addPage(w, pg); split {
+		if split := t.addPage(w, page); split {
 			break // a transaction that splits a page takes no more pages
 		}
 	}
 	if len(w.pages) > 0 {
-		t.send(w, urgent)
+		t.queueWrite(w, urgent)
 	}
 }
 
@@ -341,25 +343,25 @@
 // transaction. Pages that are not urgent go into separate transactions, and only when the
 // write budget has tokens to spare. Otherwise jobs and machines that need their records
 // stored would wait behind them for minutes.
-func (t *RecordTable) mayWrite(pg *page, w *tableWrite, urgent bool) bool {
+func (t *RecordTable) mayWrite(page *tablePage, w *tableWrite, urgent bool) bool {
 	writes := len(w.txn.Then)
-	if len(pg.pending) == 0 || t.store.now < pg.due || writes >= t.store.MaxWrites() || w.size+pg.size > limits.MaxPageTxnBytes {
+	if len(page.pending) == 0 || t.store.now < page.due || writes >= t.store.MaxWrites() || w.size+page.size > limits.MaxPageTxnBytes {
 		return false
 	}
-	if urgent != pg.urgent || (!urgent && !t.store.CanSpareWrites(writes+1)) {
+	if urgent != page.urgent || (!urgent && !t.store.CanSpareWrites(writes+1)) {
 		return false
 	}
-	return t.guard(pg.class).Version != 0 // 0: this node does not own the class
+	return t.guard(page.class).Version != 0 // 0: this node does not own the class
 }
 
 // addPage adds a page to the transaction. Records that exceed the page's limit move to
 // other pages in the same transaction; addPage reports whether any did. Without such a
 // split, the state service would keep rejecting a page that was filled under larger limits.
-func (t *RecordTable) addPage(w *tableWrite, pg *page) (split bool) {
-	records := pg.records()
+func (t *RecordTable) addPage(w *tableWrite, page *tablePage) (split bool) {
+	records := page.records()
 	var moved []movedPart
-	if pg.size > t.maxPageBytes && len(records) > 1 {
-		moved = t.split(pg, records)
+	if page.size > t.maxPageBytes && len(records) > 1 {
+		moved = t.split(page, records)
 		writes := len(w.txn.Then)
 		if len(moved) > 0 && writes > 0 && writes+1+len(moved) > t.store.MaxWrites() {
 			return false // too large to share this transaction; gets one of its own later
@@ -371,37 +373,37 @@
 			}
 		}
 	}
-	if !w.guardedClasses[pg.class] {
-		w.guardedClasses[pg.class] = true
-		w.txn.Guards = append(w.txn.Guards, t.guard(pg.class))
+	if !w.guardedClasses[page.class] {
+		w.guardedClasses[page.class] = true
+		w.txn.Guards = append(w.txn.Guards, t.guard(page.class))
 	}
-	if !w.add(pg, records) {
+	if !w.add(page, records) {
 		return false
 	}
-	w.size += pg.size
-	pg.urgent = false
+	w.size += page.size
+	page.urgent = false
 	for _, part := range moved {
 		w.add(part.page, part.records)
 	}
 	return len(moved) > 0
 }
 
-// send queues the transaction and applies its result to the mirror.
-func (t *RecordTable) send(w *tableWrite, urgent bool) {
-	prio := PriorityProgress
+// queueWrite queues the transaction, and applies its result to the mirror when the reply arrives.
+func (t *RecordTable) queueWrite(w *tableWrite, urgent bool) {
+	priority := PriorityProgress
 	if urgent {
-		prio = PriorityRecords
+		priority = PriorityRecords
 	}
 	t.writeInFlight = true
-	t.store.Txn(prio, limits.StoreTimeout, w.txn, func(reply Reply) {
+	t.store.Txn(priority, limits.StoreTimeout, w.txn, func(reply Reply) {
 		t.writeInFlight = false
 		var txnReply wire.TxnReply
 		if reply.Status != OK || wire.Decode(reply.Body, &txnReply) != nil {
 			// The transaction may have been executed all the same. Its records stay
 			// pending until they appear in the mirror.
 			t.pausedUntil = t.store.now + limits.StoreBackoff
-			for _, pg := range w.pages {
-				pg.urgent = pg.urgent || urgent
+			for _, page := range w.pages {
+				page.urgent = page.urgent || urgent
 			}
 			return
 		}
--- a/internal/statestore/record_table_bench_test.go
+++ b/internal/statestore/record_table_bench_test.go
@@ -42,7 +42,7 @@
 					if err != nil {
 						b.Fatal(err)
 					}
-					store.Reply(now, c.ID, 200, reply)
+					store.HandleReply(now, c.ID, 200, reply)
 				}
 				for _, change := range store.Mirror.TakeChanges() {
 					table.Apply(change)
--- a/internal/statestore/record_table_test.go
+++ b/internal/statestore/record_table_test.go
@@ -69,7 +69,7 @@
 		}
 		outcome := nextOutcome()
 		if outcome == 2 {
-			h.store.Reply(h.now, c.ID, 0, nil)
+			h.store.HandleReply(h.now, c.ID, 0, nil)
 			continue
 		}
 		failed := false
@@ -79,7 +79,7 @@
 			}
 		}
 		if failed {
-			h.store.Reply(h.now, c.ID, 409, nil)
+			h.store.HandleReply(h.now, c.ID, 409, nil)
 			continue
 		}
 		h.revision++
@@ -97,9 +97,9 @@
 		}
 		if outcome == 0 {
 			raw, _ := wire.Encode(wire.TxnReply{Revision: h.revision})
-			h.store.Reply(h.now, c.ID, 200, raw)
+			h.store.HandleReply(h.now, c.ID, 200, raw)
 		} else {
-			h.store.Reply(h.now, c.ID, 0, nil)
+			h.store.HandleReply(h.now, c.ID, 0, nil)
 		}
 	}
 	for key, raw := range h.stored { // in place of the watch
@@ -230,7 +230,7 @@
 	}
 	for now := time.Second; now < 6*time.Second; now += 100 * time.Millisecond {
 		for _, c := range s.Tick(now) {
-			s.Reply(now, c.ID, 200, nil)
+			s.HandleReply(now, c.ID, 200, nil)
 		}
 	}
 	if w := s.WriteWait(PriorityUser); w > 0 {
--- a/internal/statestore/store.go
+++ b/internal/statestore/store.go
@@ -1,7 +1,6 @@
-// Package statestore is a client of the state service. It queues requests under a
-// rate budget and mirrors the watched keys in memory. It is a pure state machine
-// without I/O: Store.Tick returns the Calls to make, and Store.Reply takes their
-// results.
+// Package statestore is a client of the state service. It queues requests under a rate budget and
+// mirrors the watched keys in memory. It is a pure state machine without I/O: Store.Tick returns the
+// Calls to make, and Store.HandleReply takes their results.
 package statestore
 
 import (
@@ -28,9 +27,9 @@
 	priorityCount
 )
 
-// writeReserve is the fraction of the write bucket that a priority leaves to higher priorities.
-// Without it, a submission waits for tokens that a batch has just used up. requestReserve is the
-// fraction of the request bucket that a priority leaves to higher priorities. Without it,
+// writeReserve is the fraction of the write bucket that a priority leaves to higher priorities. Without
+// writeReserve, a submission waits for tokens that a batch has just used up. requestReserve is the
+// fraction of the request bucket that a priority leaves to higher priorities. Without requestReserve,
 // submissions queue behind status queries, which users send many times as often.
 var (
 	writeReserve   = [priorityCount]float64{PriorityProgress: limits.ProgressReserve}
@@ -73,7 +72,7 @@
 func (r Reply) Refused() bool { return r.Status == 503 || r.Status == 429 }
 
 type request struct {
-	prio     Priority
+	priority Priority
 	method   string
 	path     string
 	body     any
@@ -116,7 +115,7 @@
 	lastCallID      uint64
 	pausedUntil     time.Duration // of the queued requests, only PriorityLease is sent before this
 	savingTokens    bool          // write tokens are being saved for a transaction of a higher priority
-	outgoing        []Call
+	outgoingCalls   []Call
 	LastOK          time.Duration // when the newest successful call was sent; any answer but 429 and 503 counts
 	LastFail        time.Duration // when the newest failure was seen: no answer, or a 503
 	Mirror          *Mirror
@@ -169,12 +168,13 @@
 // Txn queues a transaction. If it has not been sent after wait (0: no limit), it is
 // dropped and done receives a 503.
 func (s *Store) Txn(p Priority, wait time.Duration, txn wire.Txn, done func(Reply)) {
-	s.enqueue(&request{prio: p, method: "POST", path: "/multi", body: txn, writes: len(txn.Then), deadline: s.deadline(wait), done: done})
+	s.enqueue(&request{priority: p, method: "POST", path: "/multi", body: txn, writes: len(txn.Then), deadline: s.deadline(wait), done: done})
 }
 
-// Get queues a read of one key. wait and done are as for Txn.
+// Get queues a read of one key. If the read has not been sent after wait (0: no limit), it is dropped
+// and done receives a 503.
 func (s *Store) Get(p Priority, wait time.Duration, key string, done func(Reply)) {
-	s.enqueue(&request{prio: p, method: "GET", path: "/kv/" + key, deadline: s.deadline(wait), done: done})
+	s.enqueue(&request{priority: p, method: "GET", path: "/kv/" + key, deadline: s.deadline(wait), done: done})
 }
 
 // List queues a read of one page of the keys that start with prefix. The page starts
@@ -184,23 +184,23 @@
 	if since != "" {
 		pathAndQuery += "&since=" + url.QueryEscape(since)
 	}
-	s.enqueue(&request{prio: p, method: "GET", path: pathAndQuery, done: done})
+	s.enqueue(&request{priority: p, method: "GET", path: pathAndQuery, done: done})
 }
 
 // NewLease queues a request for a new lease.
 func (s *Store) NewLease(ttl time.Duration, done func(Reply)) {
-	s.enqueue(&request{prio: PriorityLease, method: "POST", path: "/leases", body: wire.LeaseRequest{TTLMs: ttl.Milliseconds()}, deadline: s.deadline(limits.StoreTimeout), done: done})
+	s.enqueue(&request{priority: PriorityLease, method: "POST", path: "/leases", body: wire.LeaseRequest{TTLMs: ttl.Milliseconds()}, deadline: s.deadline(limits.StoreTimeout), done: done})
 }
 
 // Renew queues a lease renewal. A renewal that has not been sent within
 // limits.RenewInterval is dropped, because a late renewal is worth less than a new one.
 func (s *Store) Renew(lease uint64, done func(Reply)) {
-	s.enqueue(&request{prio: PriorityLease, method: "POST", path: fmt.Sprintf("/leases/%d/renew", lease), deadline: s.deadline(limits.RenewInterval), done: done})
+	s.enqueue(&request{priority: PriorityLease, method: "POST", path: fmt.Sprintf("/leases/%d/renew", lease), deadline: s.deadline(limits.RenewInterval), done: done})
 }
 
 // RevokeLease queues a request that ends a lease before it expires.
 func (s *Store) RevokeLease(lease uint64, done func(Reply)) {
-	s.enqueue(&request{prio: PriorityLease, method: "DELETE", path: fmt.Sprintf("/leases/%d", lease), deadline: s.deadline(limits.StoreTimeout), done: done})
+	s.enqueue(&request{priority: PriorityLease, method: "DELETE", path: fmt.Sprintf("/leases/%d", lease), deadline: s.deadline(limits.StoreTimeout), done: done})
 }
 
 // deadline returns the time from which a request is dropped if it is queued now and may
@@ -215,17 +215,17 @@
 // enqueue queues a request. If the queue is full, any request but one of PriorityLease is
 // rejected with a 503.
 func (s *Store) enqueue(r *request) {
-	if s.queuedCount >= limits.MaxStoreQueue && r.prio != PriorityLease {
+	if s.queuedCount >= limits.MaxStoreQueue && r.priority != PriorityLease {
 		r.done(Reply{Status: 503, SentAt: s.now})
 		return
 	}
-	s.queues[r.prio] = append(s.queues[r.prio], r)
+	s.queues[r.priority] = append(s.queues[r.priority], r)
 	s.queuedCount++
 }
 
-// Advance sets the current time without sending or dropping any request. Without it,
-// a process that was paused for a moment would queue its lease renewal with a time from
-// before the pause, drop it unsent as too old, and lose a lease that it could have kept.
+// Advance sets the current time without sending or dropping any request. Without this method, a process
+// that was paused for a moment would queue its lease renewal with a time from before the pause, drop it
+// unsent as too old, and lose a lease that it could have kept.
 func (s *Store) Advance(now time.Duration) { s.now = max(s.now, now) }
 
 // Tick advances the time and returns the calls to make now, as far as the budget allows.
@@ -240,8 +240,8 @@
 	for p := range s.queues {
 		s.sendQueued(Priority(p))
 	}
-	outgoing := s.outgoing
-	s.outgoing = nil
+	outgoing := s.outgoingCalls
+	s.outgoingCalls = nil
 	return outgoing
 }
 
@@ -272,7 +272,7 @@
 		s.requestBucket.level--
 		s.writeBucket.level -= float64(r.writes)
 		s.queuedCount--
-		s.send(r, limits.StoreTimeout)
+		s.queueCall(r, limits.StoreTimeout)
 	}
 	// The callbacks of dropped requests may have queued new requests.
 	if added := s.queues[p][len(queue):]; len(added) > 0 {
@@ -281,15 +281,16 @@
 	s.queues[p] = remaining
 }
 
-func (s *Store) send(r *request, timeout time.Duration) {
+// queueCall adds the call for a request to those that Tick returns.
+func (s *Store) queueCall(r *request, timeout time.Duration) {
 	s.lastCallID++
 	call := Call{ID: s.lastCallID, Method: r.method, Path: r.path, Body: r.body, Writes: r.writes, Timeout: timeout}
 	s.inFlight[s.lastCallID] = &inFlight{call: call, sent: s.now, done: r.done}
-	s.outgoing = append(s.outgoing, call)
+	s.outgoingCalls = append(s.outgoingCalls, call)
 }
 
-// InFlight returns a call that has not been answered yet, and when it was sent.
-func (s *Store) InFlight(id uint64) (call Call, sentAt time.Duration, ok bool) {
+// CallInFlight returns a call that has not been answered yet, and when it was sent.
+func (s *Store) CallInFlight(id uint64) (call Call, sentAt time.Duration, ok bool) {
 	f, ok := s.inFlight[id]
 	if !ok {
 		return Call{}, 0, false
@@ -297,8 +298,8 @@
 	return f.call, f.sent, true
 }
 
-// Reply records the result of a call. status is an HTTP status, or NoAnswer.
-func (s *Store) Reply(now time.Duration, id uint64, status int, body []byte) {
+// HandleReply records the result of a call. status is an HTTP status, or NoAnswer.
+func (s *Store) HandleReply(now time.Duration, id uint64, status int, body []byte) {
 	if now > s.now {
 		s.now = now
 	}
--- a/internal/statestore/store_test.go
+++ b/internal/statestore/store_test.go
@@ -27,7 +27,7 @@
 	if len(calls) != 1 || !strings.HasPrefix(calls[0].Path, "/kv?") {
 		t.Fatalf("first calls are %+v, want one read of keys", calls)
 	}
-	s.Reply(time.Second, calls[0].ID, 200, mustEncode(t, map[string]any{"rows": []any{}, "ledger": 5}))
+	s.HandleReply(time.Second, calls[0].ID, 200, mustEncode(t, map[string]any{"rows": []any{}, "ledger": 5}))
 	calls = s.Tick(time.Second)
 	if len(calls) != 1 || !strings.Contains(calls[0].Path, "since=5") {
 		t.Fatalf("calls after the full read are %+v, want one watch from revision 5", calls)
@@ -50,7 +50,7 @@
 	for now := time.Second; now <= 4*time.Second; now += 100 * time.Millisecond {
 		for _, c := range s.Tick(now) {
 			sent += 3
-			s.Reply(now, c.ID, 200, nil)
+			s.HandleReply(now, c.ID, 200, nil)
 		}
 		if over := float64(sent) - 9 - 9*(now-time.Second).Seconds(); over > 0.01 {
 			t.Fatalf("%d writes sent in %v, which exceeds the budget", sent, now-time.Second)
@@ -66,7 +66,7 @@
 	got, now := 0, 2*time.Second
 	s.Get(PriorityUser, 5*time.Second, "k", func(r Reply) { got = r.Status })
 	c := s.Tick(now)
-	s.Reply(now, c[0].ID, 503, nil)
+	s.HandleReply(now, c[0].ID, 503, nil)
 	if got != 503 || !s.Down() {
 		t.Fatalf("after a 503: status %d, Down() = %v", got, s.Down())
 	}
@@ -78,26 +78,26 @@
 	if got != -503 {
 		t.Errorf("callback of a request whose wait expired set %d, want -503", got)
 	}
-	s.Reply(3*time.Second, 9999, 200, nil) // a reply to an unknown call is ignored
+	s.HandleReply(3*time.Second, 9999, 200, nil) // a reply to an unknown call is ignored
 }
 
 func TestMirrorFollowsWatchAndReloads(t *testing.T) {
 	s, watch := newLoadedStore(t)
-	s.Reply(2*time.Second, watch, 200, mustEncode(t, map[string]any{"ledger": 9, "news": []any{
+	s.HandleReply(2*time.Second, watch, 200, mustEncode(t, map[string]any{"ledger": 9, "news": []any{
 		map[string]any{"put": "u/a", "v": 1, "stamp": 7}, map[string]any{"put": "u/b", "v": 1, "stamp": 8}, map[string]any{"remove": "u/a", "stamp": 9}}}))
 	if _, ok := s.Mirror.Get("u/a"); ok || s.Mirror.Revision != 9 || len(s.Mirror.TakeChanges()) != 3 {
 		t.Fatal("the mirror did not apply the changes of the watch")
 	}
 	c := s.Tick(2 * time.Second)
-	s.Reply(2*time.Second, c[0].ID, 410, nil)
+	s.HandleReply(2*time.Second, c[0].ID, 410, nil)
 	// The mirror reads all keys again, in two pages, and removes the keys that are on neither.
 	c = s.Tick(2 * time.Second)
-	s.Reply(2*time.Second, c[0].ID, 200, mustEncode(t, map[string]any{"rows": []any{map[string]any{"path": "u/c", "v": 1, "stamp": 20}}, "hasNext": true, "ledger": 30}))
+	s.HandleReply(2*time.Second, c[0].ID, 200, mustEncode(t, map[string]any{"rows": []any{map[string]any{"path": "u/c", "v": 1, "stamp": 20}}, "hasNext": true, "ledger": 30}))
 	c = s.Tick(2 * time.Second)
 	if !strings.Contains(c[0].Path, "since=u%2Fc") {
 		t.Fatalf("calls for the second page are %+v", c)
 	}
-	s.Reply(2*time.Second, c[0].ID, 200, mustEncode(t, map[string]any{"rows": []any{map[string]any{"path": "u/d", "v": 1, "stamp": 31}}, "ledger": 33}))
+	s.HandleReply(2*time.Second, c[0].ID, 200, mustEncode(t, map[string]any{"rows": []any{map[string]any{"path": "u/d", "v": 1, "stamp": 31}}, "ledger": 33}))
 	if _, ok := s.Mirror.Get("u/b"); ok {
 		t.Error("the mirror still has a key that was on no page")
 	}
@@ -106,7 +106,7 @@
 		t.Errorf("the watch continues with %s, want the first page's revision", c[0].Path)
 	}
 	// A removal that is older than the key's version is ignored.
-	s.Reply(2*time.Second, c[0].ID, 200, mustEncode(t, map[string]any{"ledger": 34, "news": []any{map[string]any{"remove": "u/d", "stamp": 30}}}))
+	s.HandleReply(2*time.Second, c[0].ID, 200, mustEncode(t, map[string]any{"ledger": 34, "news": []any{map[string]any{"remove": "u/d", "stamp": 30}}}))
 	if _, ok := s.Mirror.Get("u/d"); !ok {
 		t.Error("an old removal removed a newer key")
 	}
@@ -121,9 +121,9 @@
 	watches, queries := 0, 0
 	var unanswered []uint64
 	for now := time.Second; now < 20*time.Second; now += 10 * time.Millisecond {
-		s.Reply(now, watch, 200, mustEncode(t, map[string]any{"ledger": 10 + now.Milliseconds(), "news": []any{}}))
+		s.HandleReply(now, watch, 200, mustEncode(t, map[string]any{"ledger": 10 + now.Milliseconds(), "news": []any{}}))
 		for _, id := range unanswered {
-			s.Reply(now, id, 200, nil)
+			s.HandleReply(now, id, 200, nil)
 		}
 		unanswered = nil
 		for i := 0; i < 3; i++ {
@@ -178,7 +178,7 @@
 		})
 		for _, c := range s.Tick(now) {
 			if c.Method == "POST" {
-				s.Reply(now, c.ID, 200, nil)
+				s.HandleReply(now, c.ID, 200, nil)
 			}
 		}
 	}
@@ -194,7 +194,7 @@
 func TestFullReadIsNoNewerThanItsFirstPage(t *testing.T) {
 	s, watch := newLoadedStore(t)
 	cancelled, job := Root+"c/job-1", Root+"o/job-1"
-	s.Reply(2*time.Second, watch, 410, nil)
+	s.HandleReply(2*time.Second, watch, 410, nil)
 	nextCall := func(now time.Duration, wantPath string) uint64 {
 		t.Helper()
 		calls := s.Tick(now)
@@ -208,7 +208,7 @@
 	}
 	before := s.Mirror.KnownThrough
 	first := nextCall(3*time.Second, "/kv?")
-	s.Reply(4*time.Second, first, 200, mustEncode(t, map[string]any{"rows": []any{row(Root+"a", 3)}, "hasNext": true, "ledger": 10}))
+	s.HandleReply(4*time.Second, first, 200, mustEncode(t, map[string]any{"rows": []any{row(Root+"a", 3)}, "hasNext": true, "ledger": 10}))
 	// Between the pages, this node accepts job-1 in revision 11, and another node cancels
 	// it in revision 12.
 	second := nextCall(5*time.Second, "since="+"u%2Fa")
@@ -216,12 +216,12 @@
 	if s.Mirror.KnownThrough != before {
 		t.Errorf("KnownThrough became %v before the last page was read", s.Mirror.KnownThrough)
 	}
-	s.Reply(6*time.Second, second, 200, mustEncode(t, map[string]any{"rows": []any{row(Root+"z", 4)}, "ledger": 12}))
+	s.HandleReply(6*time.Second, second, 200, mustEncode(t, map[string]any{"rows": []any{row(Root+"z", 4)}, "ledger": 12}))
 	if s.Mirror.KnownThrough != 3*time.Second {
 		t.Errorf("KnownThrough is %v after a full read that began at 3 s", s.Mirror.KnownThrough)
 	}
 	third := nextCall(7*time.Second, "since=10")
-	s.Reply(8*time.Second, third, 200, mustEncode(t, map[string]any{"ledger": 12, "news": []any{
+	s.HandleReply(8*time.Second, third, 200, mustEncode(t, map[string]any{"ledger": 12, "news": []any{
 		map[string]any{"put": job, "v": true, "stamp": 11}, map[string]any{"put": cancelled, "v": true, "stamp": 12}}}))
 	for _, key := range []string{job, cancelled} {
 		if _, ok := s.Mirror.Get(key); !ok {
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -65,10 +65,10 @@
 	AllowedTypes []string
 }
 
-// ParseSubmission decodes and validates a submission. The error is for the user. Only fields that
-// may be null may be left out. Without this rule, jobs that lacked a field were accepted and run as
-// if the field were zero. If the ID is valid but another field is not, ParseSubmission returns the
-// submission together with the error.
+// ParseSubmission decodes and validates a submission. The error is for the user. Only fields that may be
+// null may be left out. Without this rule, jobs that lack a field would be accepted and run as if the
+// field were zero. If the ID is valid but another field is not, ParseSubmission returns the submission
+// together with the error.
 func ParseSubmission(body []byte) (*Submission, error) {
 	var fields map[string]any
 	if err := Decode(body, &fields); err != nil || fields == nil {
@@ -118,11 +118,11 @@
 	return s, nil
 }
 
-// truncateText shortens a text to limits.MaxTextBytes, so that records stay small. It is for texts
-// that are only displayed or compared. The limit applies to the text in JSON, the form in which the
-// state service measures records: a text of control characters is six times as long in JSON, and
-// when only its own length was limited, the state service refused the record and with it the
-// records of other users in the same transaction.
+// truncateText shortens a text to limits.MaxTextBytes, so that records stay small. It is for texts that
+// are only displayed or compared. The limit applies to the text in JSON, the form in which the state
+// service measures records: a text of control characters is six times as long in JSON, and if only its
+// own length were limited, the state service would refuse the record and with it the records of other
+// users in the same transaction.
 func truncateText(s string) string {
 	size := 0
 	for i, r := range s {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,6 +1,6 @@
-// Package wire defines the messages of the protocol: their fields, encoding and validation. Where
-// the protocol's names for fields and values differ from the usual terms, they appear only in this
-// package.
+// Package wire defines the messages of the protocol: their fields, encoding and validation. Where the
+// protocol's names for fields and values differ from the usual terms, the protocol's names appear only
+// in this package.
 package wire
 
 import (
@@ -106,9 +106,9 @@
 	Tasks        []TaskStatus `msgpack:"sheets"`
 }
 
-// Validate checks conditions on the values of a heartbeat that decoding does not check. A text that
-// is too long for a record is invalid: without this check, the record of the machine could never be
-// written, nor the records that wait to be written with it.
+// Validate checks conditions on the values of a heartbeat that decoding does not check. A text that is
+// too long for a record is invalid: without this check, neither the record of the machine nor the
+// records in the same transaction could be written.
 func (h *Heartbeat) Validate() error {
 	if h.Machine == "" {
 		return errors.New("hut: missing")
--- a/internal/workers/heartbeats.go
+++ b/internal/workers/heartbeats.go
@@ -9,7 +9,7 @@
 // Verdict is what a heartbeat proves about its machine, and whether this owner may answer it.
 type Verdict int
 
-// Verdicts.
+// Verdicts on a heartbeat. Only with the last three may it be answered with 200.
 const (
 	Stale     Verdict = iota // not newer than a heartbeat received before: must not be answered with 200
 	Deposed                  // the worker has seen a higher fencing token than this owner's
@@ -33,10 +33,10 @@
 	return "current"
 }
 
-// Receive processes a heartbeat of a machine whose class this controller owns with the given term,
-// and returns the machine and the verdict. Only a Current heartbeat changes Tasks. The time since is
-// the latest at which an earlier owner may have answered a heartbeat of the machine.
-func (p *Pool) Receive(now time.Duration, heartbeat *wire.Heartbeat, term uint64, since time.Duration) (*Machine, Verdict) {
+// ReceiveHeartbeat processes a heartbeat of a machine whose class this controller owns with the given
+// term, and returns the machine and the verdict. Only a Current heartbeat changes Tasks. The time since
+// is the latest at which an earlier owner may have answered a heartbeat of the machine.
+func (p *Pool) ReceiveHeartbeat(now time.Duration, heartbeat *wire.Heartbeat, term uint64, since time.Duration) (*Machine, Verdict) {
 	machine := p.GetOrAdd(heartbeat.Machine, heartbeat.Type, heartbeat.Zone, heartbeat.Spot, since)
 	if machine.Term != term {
 		// In a new term of this owner, nothing is proved yet.
@@ -112,10 +112,10 @@
 	if heartbeat.Incarnation != machine.Incarnation {
 		clear(machine.Orders)
 		machine.lastHeartbeatSeq = 0
-		// An incarnation of which no heartbeat has been answered may have begun at any time up to
-		// now, and it lasts for one lease, so the lease is counted from now. Without this, tasks
-		// ran twice: a worker that reached no controller was sent tasks by direct orders in its new
-		// incarnation, and the end of the previous incarnation's lease was taken for their end.
+		// An incarnation of which no heartbeat has been answered may have begun at any time up to now,
+		// and it lasts for one lease, so the lease is counted from now. Otherwise tasks could run twice:
+		// a worker that reaches no controller would get tasks by direct orders in its new incarnation,
+		// and the end of the previous incarnation's lease would be taken for the end of these tasks.
 		machine.LastAnswer, machine.FoundByProbe = now, true
 	}
 	machine.Adopted, machine.Incarnation, machine.Seq, machine.LastHeartbeat, machine.Tasks = true, heartbeat.Incarnation, heartbeat.Seq, now, heartbeat.Tasks
--- a/internal/workers/machine.go
+++ b/internal/workers/machine.go
@@ -30,8 +30,8 @@
 	Faulty        bool          // fails the tasks that it starts
 	RecallAt      time.Duration // when the cloud takes the machine away; 0: not announced
 
-	// DirectInFlight means that a direct order to the worker is in flight. Fences are not counted.
-	DirectInFlight bool
+	// DirectOrderInFlight means that a direct order to the worker is in flight. Fences are not counted.
+	DirectOrderInFlight bool
 	// Orders holds the direct orders that launch tasks, by attempt, until it is certain that they
 	// have no further effect.
 	Orders     map[uint64]*Order
--- a/internal/workers/orders.go
+++ b/internal/workers/orders.go
@@ -19,7 +19,8 @@
 	Task   string
 	SentAt time.Duration
 	State  OrderState
-	// JobDone means that the task's job is done, so that the order can do no harm any more.
+	// JobDone means that the task's job is done. If the order still starts the task, the task exits at
+	// once.
 	JobDone bool
 }
 
--- a/internal/workers/pool_test.go
+++ b/internal/workers/pool_test.go
@@ -37,7 +37,7 @@
 		{"the new term's token makes the heartbeat current", newHeartbeat(2, 4, 11, "j/2"), 11, Current, true, 1},
 	}
 	for _, step := range steps {
-		m, verdict := p.Receive(time.Second, step.heartbeat, step.term, 0)
+		m, verdict := p.ReceiveHeartbeat(time.Second, step.heartbeat, step.term, 0)
 		if verdict != step.want || m.Adopted != step.adopted || len(m.Tasks) != step.tasks {
 			t.Errorf("%s: verdict %v, adopted %v, %d tasks", step.name, verdict, m.Adopted, len(m.Tasks))
 		}
@@ -49,7 +49,7 @@
 // may be slower by the allowed drift.
 func TestLeaseEndsNoSoonerThanOnWorker(t *testing.T) {
 	p := New(14, 1.5)
-	m, _ := p.Receive(10*time.Second, newHeartbeat(1, 1, 7), 7, 0)
+	m, _ := p.ReceiveHeartbeat(10*time.Second, newHeartbeat(1, 1, 7), 7, 0)
 	if p.Expired(m, 10*time.Second+14*time.Second+7*time.Millisecond) {
 		t.Error("the lease has ended although the worker may still run its tasks")
 	}
@@ -66,7 +66,7 @@
 	recalled := newHeartbeat(1, 1, 7)
 	recallS := 12.0
 	recalled.RecallS = &recallS
-	m, _ := p.Receive(10*time.Second, recalled, 7, 0)
+	m, _ := p.ReceiveHeartbeat(10*time.Second, recalled, 7, 0)
 	if m.RecallAt != 22*time.Second || m.Usable(10*time.Second, p.HeartbeatInterval) {
 		t.Errorf("recalled at %v, usable %v; want 22s and not usable", m.RecallAt, m.Usable(10*time.Second, p.HeartbeatInterval))
 	}
