--- a/internal/controller/simulation_workers_test.go
+++ b/internal/controller/simulation_workers_test.go
@@ -14,13 +14,13 @@
 
 // simCloud is the simulated cloud provider, which rents, lists and deletes machines.
 type simCloud struct {
-	sim          *simulation
-	rentals      map[string][]string // machine IDs by the ID of the rental request
-	available    map[fleet.Kind]int  // remaining capacity
-	createdCount int                 // machines created so far
-	outage       bool                // every request fails with status 503
-	bootFailures float64             // fraction of new machines that never boot; 0 means 0.03
-	bootSlowdown float64             // factor on the boot time, which is 2 s to 9 s; 0 means 1
+	sim             *simulation
+	rentals         map[string][]string // machine IDs by the ID of the rental request
+	available       map[fleet.Kind]int  // remaining capacity
+	createdCount    int                 // machines created so far
+	outage          bool                // every request fails with status 503
+	bootFailureRate float64             // fraction of new machines that never boot; 0 means 0.03
+	bootSlowdown    float64             // factor on the boot time, which is 2 s to 9 s; 0 means 1
 }
 
 // serve serves a request to the cloud's API.
@@ -70,16 +70,16 @@
 	case target.Path == "/hosts":
 		var list wire.MachineList
 		for _, id := range sortedKeys(c.sim.machines) {
-			m := c.sim.machines[id]
-			age := c.sim.now - m.createdAt
-			if m.gone || age < c.sim.randomDuration(1, 4) || id <= target.Query().Get("since") {
+			machine := c.sim.machines[id]
+			age := c.sim.now - machine.createdAt
+			if machine.gone || age < c.sim.randomDuration(1, 4) || id <= target.Query().Get("since") {
 				continue
 			}
 			status := wire.MachineBooting
-			if m.up {
+			if machine.up {
 				status = wire.MachineRunning
 			}
-			list.Machines = append(list.Machines, wire.ListedMachine{ID: id, Type: m.kind.Class, Zone: m.kind.Zone, Spot: m.kind.Spot, Status: status, AgeS: age.Seconds()})
+			list.Machines = append(list.Machines, wire.ListedMachine{ID: id, Type: machine.kind.Class, Zone: machine.kind.Zone, Spot: machine.kind.Spot, Status: status, AgeS: age.Seconds()})
 		}
 		return 200, mustEncode(list)
 	}
@@ -91,13 +91,13 @@
 	c.createdCount++
 	c.available[kind]--
 	id := fmt.Sprintf("i-%06d", c.createdCount)
-	m := &simMachine{sim: c.sim, id: id, address: id, kind: kind, createdAt: c.sim.now, tasks: map[string]*simTask{}, incarnation: 1}
+	machine := &simMachine{sim: c.sim, id: id, address: id, kind: kind, createdAt: c.sim.now, tasks: map[string]*simTask{}, incarnation: 1}
 	if c.sim.addressOf != nil {
-		m.address = c.sim.addressOf(m)
+		machine.address = c.sim.addressOf(machine)
 	}
-	c.sim.machines[m.id] = m
-	c.sim.created = append(c.sim.created, m)
-	failureFraction, slowdown := c.bootFailures, c.bootSlowdown
+	c.sim.machines[machine.id] = machine
+	c.sim.created = append(c.sim.created, machine)
+	failureFraction, slowdown := c.bootFailureRate, c.bootSlowdown
 	if failureFraction == 0 {
 		failureFraction = 0.03
 	}
@@ -105,9 +105,9 @@
 		slowdown = 1
 	}
 	if !c.sim.chance(failureFraction) {
-		c.sim.schedule(c.sim.randomDuration(2*slowdown, 9*slowdown), m.start)
+		c.sim.schedule(c.sim.randomDuration(2*slowdown, 9*slowdown), machine.start)
 	}
-	return m
+	return machine
 }
 
 // simTask is a task on a worker.
@@ -152,7 +152,7 @@
 // heartbeatTimeout is the longest time that a worker waits for the reply to a heartbeat.
 const heartbeatTimeout = 4 * time.Second
 
-func (m *simMachine) lease() time.Duration {
+func (m *simMachine) leaseDuration() time.Duration {
 	return time.Duration(m.sim.cfg.leaseS * float64(time.Second))
 }
 
@@ -181,7 +181,7 @@
 	m.heartbeatLoop()
 }
 
-// heartbeatLoop sends a heartbeat when one is due, which it checks every 100 ms.
+// heartbeatLoop checks every 100 ms whether a heartbeat is due, and then sends it.
 func (m *simMachine) heartbeatLoop() {
 	m.whenRunning(func() {
 		if !m.inFlight && m.sim.now >= m.nextHeartbeatAt {
@@ -196,7 +196,7 @@
 // checkLease ends all tasks of a machine whose lease has expired and begins a new incarnation of its
 // worker.
 func (m *simMachine) checkLease() {
-	if m.up && !m.gone && m.sim.now-m.renewedAt > m.lease() {
+	if m.up && !m.gone && m.sim.now-m.renewedAt > m.leaseDuration() {
 		m.endAllTasks()
 		m.incarnation++
 		m.renewedAt = m.sim.now
@@ -221,7 +221,7 @@
 // lease.
 func (m *simMachine) endRun(t *simTask) {
 	if t.run != nil && t.run.Ended == 0 {
-		t.run.Ended = min(m.sim.now, m.renewedAt+m.lease())
+		t.run.Ended = min(m.sim.now, m.renewedAt+m.leaseDuration())
 	}
 }
 
@@ -294,7 +294,7 @@
 	}
 	m.fencingToken = token
 	if m.sim.now >= m.nextTokenHeartbeat {
-		m.nextTokenHeartbeat = m.sim.now + m.lease()/2
+		m.nextTokenHeartbeat = m.sim.now + m.leaseDuration()/2
 		m.scheduleEarlyHeartbeat()
 	}
 }
@@ -402,103 +402,103 @@
 // execute carries out one command of a controller.
 func (m *simMachine) execute(command wire.Command) {
 	sim := m.sim
-	t := m.tasks[command.Task]
+	task := m.tasks[command.Task]
 	m.scheduleEarlyHeartbeat()
 	switch command.Verb {
 	case wire.VerbClear:
-		if t != nil && t.attempt == command.Attempt && t.state == wire.TaskEnded {
+		if task != nil && task.attempt == command.Attempt && task.state == wire.TaskEnded {
 			delete(m.tasks, command.Task)
 		}
 	case wire.VerbStop:
-		if t != nil && t.attempt == command.Attempt && t.state != wire.TaskEnded {
-			if g := sim.gangs[gangKey{t.job, t.attempt}]; g != nil {
-				g.stopTask(m, t, command.GraceS)
+		if task != nil && task.attempt == command.Attempt && task.state != wire.TaskEnded {
+			if g := sim.gangs[gangKey{task.job, task.attempt}]; g != nil {
+				g.stopTask(m, task, command.GraceS)
 				return
 			}
-			t.state, t.cause = wire.TaskEnded, wire.CauseHalted
-			m.endRun(t)
+			task.state, task.cause = wire.TaskEnded, wire.CauseHalted
+			m.endRun(task)
 		}
 	case wire.VerbLaunch:
-		if t != nil && t.attempt == command.Attempt {
+		if task != nil && task.attempt == command.Attempt {
 			return
 		}
 		jobID, index, _ := strings.Cut(command.Task, "/")
-		j := sim.jobs[jobID]
+		job := sim.jobs[jobID]
 		taskIndex, err := strconv.Atoi(index)
-		if t != nil && t.state != wire.TaskEnded {
+		if task != nil && task.state != wire.TaskEnded {
 			sim.reportViolation("in_use", "%s launched again on %s", command.Task, m.id)
 			return
 		}
-		launched := &simTask{id: command.Task, job: j, attempt: command.Attempt, state: wire.TaskFetching}
-		if t == nil {
+		launched := &simTask{id: command.Task, job: job, attempt: command.Attempt, state: wire.TaskFetching}
+		if task == nil {
 			m.taskOrder = append(m.taskOrder, command.Task)
 		}
-		if j == nil || err != nil || taskIndex >= j.taskCount {
+		if job == nil || err != nil || taskIndex >= job.taskCount {
 			sim.reportViolation("no_such", "%s", command.Task)
 			return
 		}
 		cpus, memoryGB := m.freeResources()
 		m.tasks[command.Task] = launched
-		if cpus < j.cores || memoryGB < j.spec["ramGb"].(float64) {
+		if cpus < job.cores || memoryGB < job.spec["ramGb"].(float64) {
 			launched.state, launched.cause = wire.TaskEnded, wire.CauseNoRoom
 			return
 		}
-		fetch := sim.randomDuration(0.1, 2)
+		fetchTime := sim.randomDuration(0.1, 2)
 		if sim.imagesCached {
-			fetch = time.Millisecond
+			fetchTime = time.Millisecond
 		}
-		sim.schedule(fetch, func() { m.whenRunning(func() { m.beginTask(launched, j, taskIndex) }) })
+		sim.schedule(fetchTime, func() { m.whenRunning(func() { m.beginTask(launched, job, taskIndex) }) })
 	}
 }
 
-// beginTask starts a task whose image has been fetched and schedules its end. A task of a gang waits
-// for the others first.
-func (m *simMachine) beginTask(t *simTask, j *simJob, taskIndex int) {
-	if m.tasks[t.id] != t || t.state != wire.TaskFetching {
+// beginTask starts a task whose image has been fetched and schedules its end. A task of a gang first
+// waits for the other tasks of the gang.
+func (m *simMachine) beginTask(task *simTask, job *simJob, taskIndex int) {
+	if m.tasks[task.id] != task || task.state != wire.TaskFetching {
 		return
 	}
 	sim := m.sim
-	t.startedAt = sim.now
+	task.startedAt = sim.now
 	sim.taskStarts++
-	if j.startedAt == 0 {
-		j.startedAt = sim.now
+	if job.startedAt == 0 {
+		job.startedAt = sim.now
 	}
 	m.scheduleEarlyHeartbeat()
-	if j.done[taskIndex] { // the result already exists, so the task exits at once
-		t.state, t.cause = wire.TaskEnded, wire.CauseDone
-		sim.checkStart(m, t, j)
+	if job.done[taskIndex] { // the result already exists, so the task exits at once
+		task.state, task.cause = wire.TaskEnded, wire.CauseDone
+		sim.checkStart(m, task, job)
 		return
 	}
-	if j.gang {
-		t.state = wire.TaskGathering
-		sim.checkStart(m, t, j)
-		sim.joinGang(m, t, j)
+	if job.gang {
+		task.state = wire.TaskGathering
+		sim.checkStart(m, task, job)
+		sim.joinGang(m, task, job)
 		return
 	}
-	t.state = wire.TaskRunning
-	m.beginRun(t)
-	sim.checkStart(m, t, j)
-	duration := sim.randomDuration(0.5*j.runSeconds, 1.5*j.runSeconds)
-	if (m.faulty || j.faulty) && !j.done[taskIndex] {
+	task.state = wire.TaskRunning
+	m.beginRun(task)
+	sim.checkStart(m, task, job)
+	duration := sim.randomDuration(0.5*job.runSeconds, 1.5*job.runSeconds)
+	if (m.faulty || job.faulty) && !job.done[taskIndex] {
 		duration = 300 * time.Millisecond
 	}
 	sim.schedule(duration, func() {
 		m.whenRunning(func() {
-			if m.tasks[t.id] != t || t.state != wire.TaskRunning {
+			if m.tasks[task.id] != task || task.state != wire.TaskRunning {
 				return
 			}
-			t.state = wire.TaskEnded
-			m.endRun(t)
-			if (m.faulty || j.faulty) && !j.done[taskIndex] {
-				t.cause = wire.CauseError
+			task.state = wire.TaskEnded
+			m.endRun(task)
+			if (m.faulty || job.faulty) && !job.done[taskIndex] {
+				task.cause = wire.CauseError
 			} else {
-				t.cause = wire.CauseDone
-				if !j.done[taskIndex] {
-					j.done[taskIndex] = true
-					j.doneCount++
-					j.completedAt = sim.now
-					if j.doneCount == j.taskCount && sim.chance(sim.cancelAtEndRate) {
-						sim.cancel(j)
+				task.cause = wire.CauseDone
+				if !job.done[taskIndex] {
+					job.done[taskIndex] = true
+					job.doneCount++
+					job.completedAt = sim.now
+					if job.doneCount == job.taskCount && sim.chance(sim.cancelAtEndRate) {
+						sim.cancel(job)
 					}
 				}
 			}
--- a/internal/controller/stepped_owner_test.go
+++ b/internal/controller/stepped_owner_test.go
@@ -23,25 +23,26 @@
 	job     *jobs.Job
 }
 
-// newSteppedOwner runs a simulation until a machine runs tasks of a long job, and returns their owner.
+// newSteppedOwner runs a simulation until a machine runs tasks of a long job, and returns the owner of
+// that machine.
 func newSteppedOwner(t *testing.T) *steppedOwner {
 	t.Helper()
 	sim := newSimulation(1, singleTypeConfig())
 	sim.submitJob("job-000001", batchSpec("red", 4, 2, 500), 500)
 	sim.run(warmup)
-	o := &steppedOwner{t: t, sim: sim, node: sim.owner()}
-	o.core = o.node.core
-	o.now = o.node.clock().Steady
-	o.job = o.core.jobs.Open["job-000001"]
-	for _, m := range o.core.pool.Sorted() {
+	owner := &steppedOwner{t: t, sim: sim, node: sim.owner()}
+	owner.core = owner.node.core
+	owner.now = owner.node.clock().Steady
+	owner.job = owner.core.jobs.Open["job-000001"]
+	for _, m := range owner.core.pool.Sorted() {
 		if m.Adopted && len(m.Tasks) > 0 {
-			o.machine = m
+			owner.machine = m
 		}
 	}
-	if o.job == nil || o.machine == nil {
+	if owner.job == nil || owner.machine == nil {
 		t.Fatal("no machine runs tasks")
 	}
-	return o
+	return owner
 }
 
 // step passes one input to the core at the time o.now and returns the outputs.
@@ -50,7 +51,7 @@
 }
 
 // cancelThroughPeers makes both peers grant the owner an extension and vouch that the listed jobs are
-// all those whose cancellation they have confirmed to users.
+// the only ones whose cancellation they have confirmed to users.
 func (o *steppedOwner) cancelThroughPeers(ids ...string) {
 	o.grantExtensions(true, ids...)
 }
@@ -74,7 +75,7 @@
 }
 
 // advanceWithCancellations advances the time while peers grant extensions and vouch that the listed
-// jobs are all those with a confirmed cancellation.
+// jobs are the only ones with a confirmed cancellation.
 func (o *steppedOwner) advanceWithCancellations(d time.Duration, ids ...string) {
 	for end := o.now + d; o.now < end; {
 		o.now = min(end, o.now+limits.ExtensionInterval)
@@ -119,8 +120,8 @@
 	o.machine.DirectOrderInFlight = false
 }
 
-// markLaunched makes the owner read the record that tasks of a job may have been launched, and update
-// its state.
+// markLaunched makes the owner read a record which states that tasks of a job may have been launched,
+// and checks that the job then counts as launched.
 func (o *steppedOwner) markLaunched(id string) {
 	o.core.jobs.Apply(statestore.Change{Key: statestore.Root + "q/" + id + "/0", Entry: statestore.Entry{Value: mustEncode(map[string]any{"d": ""}), Version: 1 << 41}})
 	o.core.jobsChanged = true
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -104,23 +104,23 @@
 }
 
 // TestUpgradeUnderFaults upgrades controllers one by one while random controllers crash and users submit
-// gangs. A controller that crashes before its turn restarts with the old version, and leadership moves between
-// the versions. While a controller of the old version may run, no record that it would misread may be
-// written. In the end gangs must run. The test also checks that it detects a service that writes the new
-// format without waiting for the old controllers.
+// gangs. A controller that crashes before its turn restarts with the old version, and leadership moves
+// between the versions. While a controller of the old version may run, no record may be written that the old
+// version would misread. After the upgrade, gangs must run. The test also checks that it detects a service
+// that writes the new format without waiting for the old controllers.
 func TestUpgradeUnderFaults(t *testing.T) {
 	runUpgrade := func(cfg simConfig, seed uint64, skipWait bool) *simulation {
 		sim := newSimulation(seed, cfg)
 		upgraded := map[*simNode]bool{}
 		for _, node := range sim.nodes {
-			node.beforeGangs = true
+			node.lacksGangSupport = true
 			node.crash(0)
 		}
 		var check func()
 		check = func() {
 			old := false
 			for _, node := range sim.nodes {
-				old = old || node.beforeGangs
+				old = old || node.lacksGangSupport
 			}
 			if key := sim.store.unsupportedRecord(); old && key != "" {
 				sim.reportViolation("foreign", "%s is written while a controller of the old version may run", key)
@@ -131,21 +131,21 @@
 		if skipWait {
 			sim.injectFault = func(core *Core) { core.ownership.SupportedFormat = 2 }
 		}
-		randomJobs(sim, 30, 120*second)
+		submitRandomJobs(sim, 30, 120*second)
 		sim.submitJob("job-400000", batchSpec("blue", 20000, 1, 1), 0.2)
 		for i := 0; i < 10; i++ {
 			sim.schedule(time.Duration(20+8*i)*second, func() { sim.submitJob(fmt.Sprintf("job-2%05d", i), newGangSubmission("blue", 2+i%4, 1, 15), 15) })
 		}
 		for i, node := range sim.nodes {
 			sim.schedule(time.Duration(30+12*i)*second+sim.randomDuration(0, 8), func() {
-				node.beforeGangs, upgraded[node] = false, true
+				node.lacksGangSupport, upgraded[node] = false, true
 				node.crash(sim.randomDuration(0.2, 4))
 			})
 		}
 		for at := 25 * second; at < 110*second; at += sim.randomDuration(4, 12) {
 			sim.schedule(at, func() { sim.nodes[sim.rng.IntN(len(sim.nodes))].crash(sim.randomDuration(0.1, 3)) })
 		}
-		sim.schedule(50*second, func() { sim.outageFor(8 * second) })
+		sim.schedule(50*second, func() { sim.failStoreFor(8 * second) })
 		sim.run(160 * second)
 		sim.faultsEndedAt = sim.now
 		sim.cancel(sim.jobs["job-400000"])
--- a/internal/fleet/deletions_test.go
+++ b/internal/fleet/deletions_test.go
@@ -29,7 +29,7 @@
 		for ; now < time.Minute && len(deleted) < machines; now += 2 * time.Second {
 			for _, call := range tick(t, manager, now) {
 				if n := len(call.Body.(wire.MachineIDs).Machines); n > limits.MaxDeletionsPerRequest {
-					t.Fatalf("%d names in one call", n)
+					t.Fatalf("%d machines in one deletion request", n)
 				}
 				status := 200
 				if len(refusals) > 0 {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -37,9 +37,10 @@
 	return calls
 }
 
-// TestUnansweredCallsAreRetried checks that a rental request without an answer is retried
-// under its name and counted meanwhile, that a deletion is retried until the cloud
-// confirms it, and that a machine that never comes up is marked for deletion.
+// TestUnansweredCallsAreRetried checks that a rental request without an answer is repeated with the
+// same request name, and that its machines count as booting until it is answered. With another
+// name, the machines would be rented twice. A deletion must be retried until the cloud confirms it,
+// and a machine that never comes up must be marked for deletion.
 func TestUnansweredCallsAreRetried(t *testing.T) {
 	manager := New(10, 4, "p", func(slog.Level, string, ...any) {})
 	var deleted []string
@@ -52,7 +53,7 @@
 	first := calls[0].Body.(wire.RentalRequest)
 	manager.HandleReply(now, calls[0].ID, 0, nil)
 	if manager.MayRent(kind) || manager.CountBooting()[kind] != 3 {
-		t.Fatal("an unanswered rental request does not block others of its kind or is not counted")
+		t.Fatal("an unanswered rental request does not block other requests of its kind, or its machines do not count as booting")
 	}
 	now += 5 * time.Second
 	calls = tick(t, manager, now)
@@ -83,7 +84,7 @@
 	if len(deleted) != 1 || !manager.IsDeleted("i-1") || manager.Track("i-1", kind, now) != nil {
 		t.Errorf("deleted %v, want only i-1, which can't be tracked again", deleted)
 	}
-	// A machine that never comes up is marked for deletion in the end.
+	// Two minutes later, the machine that never came up is marked for deletion.
 	now += 2 * time.Minute
 	tick(t, manager, now)
 	manager.MarkDeadRentalsForDeletion(true, 0)
@@ -111,10 +112,9 @@
 	}
 }
 
-// TestUnreachableMachinesAreNotBooting checks that a machine that was up under an
-// earlier owner and has sent no heartbeat to this one in time does not count as
-// booting, while a new machine still does. If the unreachable machine counted, no
-// replacement would be rented for it.
+// TestUnreachableMachinesAreNotBooting checks that a machine that was up under an earlier owner and
+// has sent no heartbeat to the present owner in time does not count as booting, while a new machine
+// still does. If the unreachable machine counted, no replacement would be rented for it.
 func TestUnreachableMachinesAreNotBooting(t *testing.T) {
 	manager := New(10, 4, "p", func(slog.Level, string, ...any) {})
 	manager.TakeoverTimeout = 8 * time.Second
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -7,12 +7,15 @@
 	"umberpaddle/internal/wire"
 )
 
+// TestCheck checks which violations are found in recorded requests and answers. A request that was
+// sent before another request was answered may see an older state. Two different final states are a
+// violation even in concurrent answers.
 func TestCheck(t *testing.T) {
 	const ms = time.Millisecond
 	accepted := Exchange{Kind: Submission, Job: "job-1", Node: "a", SentAt: 1 * ms, AnsweredAt: 40 * ms, Status: 201, State: wire.StatusPending}
 	cancelled := Exchange{Kind: Cancellation, Job: "job-1", Node: "b", SentAt: 50 * ms, AnsweredAt: 90 * ms, Status: 200, State: wire.StatusCancelled}
 	done := Exchange{Kind: Query, Job: "job-1", Node: "b", SentAt: 50 * ms, AnsweredAt: 90 * ms, Status: 200, State: wire.StatusDone}
-	after := func(kind Kind, sent time.Duration, status int, state wire.JobState) Exchange {
+	laterExchange := func(kind Kind, sent time.Duration, status int, state wire.JobState) Exchange {
 		return Exchange{Kind: kind, Job: "job-1", Node: "c", SentAt: sent, AnsweredAt: 200 * ms, Status: status, State: state}
 	}
 	cases := []struct {
@@ -21,32 +24,32 @@
 		completed time.Duration
 		want      []Rule
 	}{
-		{name: "no violation", exchanges: []Exchange{accepted, done, after(Query, 100*ms, 200, wire.StatusDone)}, completed: 60 * ms},
-		{name: "pending after cancelled", exchanges: []Exchange{accepted, cancelled, after(Submission, 100*ms, 200, wire.StatusPending)}, want: []Rule{StateRegressed}},
-		{name: "sent before the cancellation was answered", exchanges: []Exchange{accepted, cancelled, after(Submission, 60*ms, 200, wire.StatusPending)}},
-		{name: "done after cancelled", exchanges: []Exchange{accepted, cancelled, after(Query, 100*ms, 200, wire.StatusDone)}, completed: 60 * ms, want: []Rule{StateRegressed}},
-		{name: "two final states in concurrent answers", exchanges: []Exchange{accepted, cancelled, after(Query, 60*ms, 200, wire.StatusDone)}, completed: 60 * ms, want: []Rule{StateRegressed}},
-		{name: "cancelled without a request", exchanges: []Exchange{accepted, after(Query, 100*ms, 200, wire.StatusCancelled)}, want: []Rule{StateRegressed}},
-		{name: "unknown after accepted", exchanges: []Exchange{accepted, after(Query, 100*ms, 404, "")}, want: []Rule{JobLost}},
-		{name: "repeated submission refused", exchanges: []Exchange{accepted, after(Submission, 100*ms, 422, "")}, want: []Rule{JobLost}},
-		{name: "asked to try again", exchanges: []Exchange{accepted, cancelled, after(Submission, 100*ms, 503, ""), after(Query, 100*ms, 0, "")}},
-		{name: "never submitted", exchanges: []Exchange{after(Query, 100*ms, 200, wire.StatusRunning)}, want: []Rule{NeverSubmitted}},
+		{name: "no violation", exchanges: []Exchange{accepted, done, laterExchange(Query, 100*ms, 200, wire.StatusDone)}, completed: 60 * ms},
+		{name: "pending after cancelled", exchanges: []Exchange{accepted, cancelled, laterExchange(Submission, 100*ms, 200, wire.StatusPending)}, want: []Rule{StateRegressed}},
+		{name: "sent before the cancellation was answered", exchanges: []Exchange{accepted, cancelled, laterExchange(Submission, 60*ms, 200, wire.StatusPending)}},
+		{name: "done after cancelled", exchanges: []Exchange{accepted, cancelled, laterExchange(Query, 100*ms, 200, wire.StatusDone)}, completed: 60 * ms, want: []Rule{StateRegressed}},
+		{name: "two final states in concurrent answers", exchanges: []Exchange{accepted, cancelled, laterExchange(Query, 60*ms, 200, wire.StatusDone)}, completed: 60 * ms, want: []Rule{StateRegressed}},
+		{name: "cancelled without a request", exchanges: []Exchange{accepted, laterExchange(Query, 100*ms, 200, wire.StatusCancelled)}, want: []Rule{StateRegressed}},
+		{name: "unknown after accepted", exchanges: []Exchange{accepted, laterExchange(Query, 100*ms, 404, "")}, want: []Rule{JobLost}},
+		{name: "repeated submission refused", exchanges: []Exchange{accepted, laterExchange(Submission, 100*ms, 422, "")}, want: []Rule{JobLost}},
+		{name: "asked to try again", exchanges: []Exchange{accepted, cancelled, laterExchange(Submission, 100*ms, 503, ""), laterExchange(Query, 100*ms, 0, "")}},
+		{name: "never submitted", exchanges: []Exchange{laterExchange(Query, 100*ms, 200, wire.StatusRunning)}, want: []Rule{NeverSubmitted}},
 		{name: "done too early", exchanges: []Exchange{accepted, done}, completed: 95 * ms, want: []Rule{DoneTooEarly}},
 		{name: "done without completing its tasks", exchanges: []Exchange{accepted, done}, want: []Rule{DoneTooEarly}},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			r := Recording{Exchanges: c.exchanges, Completed: map[string]time.Duration{}}
-			if c.completed > 0 {
-				r.Completed["job-1"] = c.completed
+	for _, testCase := range cases {
+		t.Run(testCase.name, func(t *testing.T) {
+			recording := Recording{Exchanges: testCase.exchanges, Completed: map[string]time.Duration{}}
+			if testCase.completed > 0 {
+				recording.Completed["job-1"] = testCase.completed
 			}
-			violations := Check(r)
-			if len(violations) != len(c.want) {
-				t.Fatalf("violations: %v, want %v", violations, c.want)
+			violations := Check(recording)
+			if len(violations) != len(testCase.want) {
+				t.Fatalf("violations: %v, want %v", violations, testCase.want)
 			}
 			for i, v := range violations {
-				if v.Rule != c.want[i] {
-					t.Errorf("violations: %v, want %s", v, c.want[i])
+				if v.Rule != testCase.want[i] {
+					t.Errorf("violations: %v, want %s", v, testCase.want[i])
 				}
 			}
 		})
@@ -57,35 +60,35 @@
 // that confirms the cancellation, whichever node gave it.
 func TestCancelledTasksMustEnd(t *testing.T) {
 	const second = time.Second
-	answered := func(at time.Duration, status int, state wire.JobState) Exchange {
+	cancellationAnswer := func(at time.Duration, status int, state wire.JobState) Exchange {
 		return Exchange{Kind: Cancellation, Job: "job-1", Node: "a", SentAt: at - second, AnsweredAt: at, Status: status, State: state}
 	}
 	submitted := Exchange{Kind: Submission, Job: "job-1", Node: "a", AnsweredAt: second, Status: 201, State: wire.StatusPending}
-	run := func(job string, began, ended time.Duration) TaskRun {
+	newRun := func(job string, began, ended time.Duration) TaskRun {
 		return TaskRun{Job: job, Task: job + "/0", Machine: "i-1", Began: began, Ended: ended}
 	}
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		name      string
 		exchanges []Exchange
 		runs      []TaskRun
 		want      int
 	}{
-		{"ended in time", []Exchange{answered(10*second, 200, wire.StatusCancelled)}, []TaskRun{run("job-1", 2*second, 30*second)}, 0},
-		{"ended too late", []Exchange{answered(10*second, 200, wire.StatusCancelled)}, []TaskRun{run("job-1", 2*second, 31*second)}, 1},
-		{"started too late", []Exchange{answered(10*second, 200, wire.StatusCancelled)}, []TaskRun{run("job-1", 40*second, 41*second)}, 1},
-		{"each run counts", []Exchange{answered(10*second, 200, wire.StatusCancelled)}, []TaskRun{run("job-1", 2*second, 31*second), run("job-1", 3*second, 4*second), run("job-1", 33*second, 34*second)}, 2},
-		{"counted from the first answer", []Exchange{answered(15*second, 200, wire.StatusCancelled), answered(10*second, 200, wire.StatusCancelled)}, []TaskRun{run("job-1", 2*second, 31*second)}, 1},
-		{"cancellation not confirmed", []Exchange{answered(10*second, 503, ""), answered(10*second, 0, "")}, []TaskRun{run("job-1", 2*second, 60*second)}, 0},
-		{"another job", []Exchange{answered(10*second, 200, wire.StatusCancelled)}, []TaskRun{run("job-2", 2*second, 60*second)}, 0},
+		{"ended in time", []Exchange{cancellationAnswer(10*second, 200, wire.StatusCancelled)}, []TaskRun{newRun("job-1", 2*second, 30*second)}, 0},
+		{"ended too late", []Exchange{cancellationAnswer(10*second, 200, wire.StatusCancelled)}, []TaskRun{newRun("job-1", 2*second, 31*second)}, 1},
+		{"started too late", []Exchange{cancellationAnswer(10*second, 200, wire.StatusCancelled)}, []TaskRun{newRun("job-1", 40*second, 41*second)}, 1},
+		{"each run counts", []Exchange{cancellationAnswer(10*second, 200, wire.StatusCancelled)}, []TaskRun{newRun("job-1", 2*second, 31*second), newRun("job-1", 3*second, 4*second), newRun("job-1", 33*second, 34*second)}, 2},
+		{"counted from the first answer", []Exchange{cancellationAnswer(15*second, 200, wire.StatusCancelled), cancellationAnswer(10*second, 200, wire.StatusCancelled)}, []TaskRun{newRun("job-1", 2*second, 31*second)}, 1},
+		{"cancellation not confirmed", []Exchange{cancellationAnswer(10*second, 503, ""), cancellationAnswer(10*second, 0, "")}, []TaskRun{newRun("job-1", 2*second, 60*second)}, 0},
+		{"another job", []Exchange{cancellationAnswer(10*second, 200, wire.StatusCancelled)}, []TaskRun{newRun("job-2", 2*second, 60*second)}, 0},
 	} {
-		r := Recording{Exchanges: append(c.exchanges, submitted), Runs: c.runs, CancelWithin: 20 * second}
-		violations := Check(r)
-		if len(violations) != c.want {
-			t.Errorf("%s: %v", c.name, violations)
+		recording := Recording{Exchanges: append(testCase.exchanges, submitted), Runs: testCase.runs, CancelWithin: 20 * second}
+		violations := Check(recording)
+		if len(violations) != testCase.want {
+			t.Errorf("%s: %v", testCase.name, violations)
 		}
 		for _, v := range violations {
 			if v.Rule != RanAfterCancel {
-				t.Errorf("%s: %v", c.name, v)
+				t.Errorf("%s: %v", testCase.name, v)
 			}
 		}
 	}
--- a/internal/jobs/registry_test.go
+++ b/internal/jobs/registry_test.go
@@ -12,6 +12,9 @@
 	"umberpaddle/internal/wire"
 )
 
+// TestDoneSetChunksFitValues checks that the chunks of the largest done set fit into values of the
+// state service and contain every completed task, that merging a chunk twice adds nothing, and that
+// task numbers beyond the job are ignored.
 func TestDoneSetChunksFitValues(t *testing.T) {
 	set := newTaskSet(limits.MaxTasks)
 	for i := 0; i < limits.MaxTasks; i++ {
@@ -33,7 +36,7 @@
 			}
 		}
 		if string(decoded) != string(set) || added != limits.MaxTasks*2/3 {
-			t.Errorf("%d tasks were decoded", added)
+			t.Errorf("%d tasks were decoded, want two thirds of the maximum", added)
 		}
 	}
 	if got := newTaskSet(10).mergeChunk(0, limits.ChunkTasks, "//////8", 10); len(got) != 10 {
@@ -94,6 +97,9 @@
 	return h.registry.Open[id]
 }
 
+// TestRepeatedSubmissionCreatesOneJob checks that a submission and its repeat share one
+// transaction, and that only the first is answered with 201. If the state service does not reply,
+// the user must be asked to retry.
 func TestRepeatedSubmissionCreatesOneJob(t *testing.T) {
 	h := newHarness(t)
 	h.tick()
@@ -121,6 +127,9 @@
 	}
 }
 
+// TestQueriesShareTransactionAndDoNotGuess checks that concurrent status queries share one
+// transaction, and that a query returns 404 only if the state service has no record of the job.
+// Without a reply of the state service, the answer must be 503.
 func TestQueriesShareTransactionAndDoNotGuess(t *testing.T) {
 	h := newHarness(t)
 	h.openJob("job-1", 2, 5)
@@ -134,13 +143,13 @@
 	}
 	txn := h.txns[0].Body.(wire.Txn)
 	if len(txn.Then) != 0 || len(txn.Guards) != 5 {
-		t.Errorf("%+v", txn)
+		t.Errorf("the transaction of the queries is %+v, want 5 guards and no writes", txn)
 	}
 	// job-2 exists although it is not in the mirror yet; job-3 does not exist.
 	h.store.HandleReply(h.now, h.txns[0].ID, 409, h.encode(wire.TxnReply{Failed: []string{keyJob + "job-2"}}))
 	for id, want := range map[string]int{"job-1": 200, "job-2": 200, "job-3": 404} {
 		if got[id].Status != want {
-			t.Errorf("%s: %d, want %d", id, got[id].Status, want)
+			t.Errorf("%s: status %d, want %d", id, got[id].Status, want)
 		}
 	}
 	h.txns = nil
@@ -148,7 +157,7 @@
 	h.tick()
 	h.store.HandleReply(h.now, h.txns[0].ID, 503, nil)
 	if got["job-3"].Status != 503 {
-		t.Errorf("without the state service: %d", got["job-3"].Status)
+		t.Errorf("a query without the state service: status %d, want 503", got["job-3"].Status)
 	}
 }
 
@@ -184,11 +193,14 @@
 	}
 }
 
+// TestCancellationOverridesCompletion checks that a job whose completion is refused because a final
+// state is already stored stays open, and that no completion is stored once the job is known to be
+// cancelled.
 func TestCancellationOverridesCompletion(t *testing.T) {
 	h := newHarness(t)
-	j := h.openJob("job-1", 1, 5)
-	j.Active = true
-	j.MarkDone(0)
+	job := h.openJob("job-1", 1, 5)
+	job.Active = true
+	job.MarkDone(0)
 	h.tick()
 	if len(h.txns) != 1 {
 		t.Fatalf("%d transactions were sent, want 1", len(h.txns))
@@ -214,8 +226,8 @@
 	}
 }
 
-// TestChunksWithoutJobAreRemoved checks that no chunks stay in the state service after their job: a
-// job of 100,000 tasks has more chunks than one transaction may remove.
+// TestChunksWithoutJobAreRemoved checks that no chunks stay in the state service after their job
+// was removed. A job of 100,000 tasks has more chunks than one transaction may remove.
 func TestChunksWithoutJobAreRemoved(t *testing.T) {
 	h := newHarness(t)
 	h.openJob("job-1", limits.MaxTasks, 5)
@@ -249,13 +261,13 @@
 func TestOverloadIsReportedAtOnce(t *testing.T) {
 	h := newHarness(t)
 	submit := func(id string) (answer Answer) {
-		h.registry.Submit(h.now, &wire.Job{ID: id, Tasks: 1}, func(x Answer) { answer = x })
+		h.registry.Submit(h.now, &wire.Job{ID: id, Tasks: 1}, func(submitAnswer Answer) { answer = submitAnswer })
 		return answer
 	}
 	h.store.SetShare(0.001, 0.001) // one write per second
-	n := 0
-	for ; n < 1000; n++ {
-		answer := submit(fmt.Sprintf("job-%d", n))
+	accepted := 0
+	for ; accepted < 1000; accepted++ {
+		answer := submit(fmt.Sprintf("job-%d", accepted))
 		if answer.Status == 429 && answer.RetryAfter > 0 {
 			break
 		}
@@ -264,7 +276,7 @@
 		}
 		h.store.Txn(statestore.PriorityUser, 0, wire.Txn{Then: []wire.Op{{Key: "x"}}}, func(statestore.Reply) {})
 	}
-	if n == 1000 {
+	if accepted == 1000 {
 		t.Error("1000 submissions were accepted although the write budget is used up")
 	}
 	h = newHarness(t)
--- a/internal/jobs/stale_answers_test.go
+++ b/internal/jobs/stale_answers_test.go
@@ -66,11 +66,11 @@
 	requireStatus(h.t, (*repeat)[0], wire.StatusCancelled)
 }
 
-func requireStatus(t *testing.T, a Answer, want wire.JobState) {
+func requireStatus(t *testing.T, answer Answer, want wire.JobState) {
 	t.Helper()
-	state, ok := a.Body.(wire.JobStatus)
-	if a.Status != 200 || !ok || state.Status != want {
-		t.Errorf("answer %+v, want 200 %s", a, want)
+	state, ok := answer.Body.(wire.JobStatus)
+	if answer.Status != 200 || !ok || state.Status != want {
+		t.Errorf("answer %+v, want 200 %s", answer, want)
 	}
 }
 
@@ -130,8 +130,8 @@
 
 // TestPeersReceiveEveryCancellation checks that the list that this node sends to peers as complete
 // contains each cancellation that it confirmed to a user, as long as tasks of the job may be left.
-// With only a time limit, a cancellation was missing from the list at the moment when the limit
-// expired, and permanently if this node had not read the job's record.
+// If only a time limit decided, a cancellation would be missing from the list when the limit
+// expires, and permanently if this node has not read the job's record.
 func TestPeersReceiveEveryCancellation(t *testing.T) {
 	const id = "job-1"
 	confirm := func(t *testing.T) *harness {
--- a/internal/ownership/extension_test.go
+++ b/internal/ownership/extension_test.go
@@ -21,16 +21,16 @@
 // TestEndedClaimRefusesEarlierTerms checks that a peer gets no extension for a term that a later claim has
 // replaced, even after the later claim has ended: tasks started under the later term may still be running.
 func TestEndedClaimRefusesEarlierTerms(t *testing.T) {
-	n := newTestNode(time.Minute)
-	n.store.LastFail = time.Minute
+	node := newTestNode(time.Minute)
+	node.store.LastFail = time.Minute
 	value, err := wire.Encode(nodeRecord{Node: "node-1", Incarnation: 1, Lease: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.Apply(statestore.Change{Key: keyOwner + "small", Entry: statestore.Entry{Value: value, Version: 9}})
-	n.Apply(statestore.Change{Key: keyOwner + "small", Removed: true})
+	node.Apply(statestore.Change{Key: keyOwner + "small", Entry: statestore.Entry{Value: value, Version: 9}})
+	node.Apply(statestore.Change{Key: keyOwner + "small", Removed: true})
 	for term, want := range map[uint64]bool{5: false, 9: true, 12: true} {
-		if got := n.GrantExtension(n.now, map[string]uint64{"small": term}); got != want {
+		if got := node.GrantExtension(node.now, map[string]uint64{"small": term}); got != want {
 			t.Errorf("term %d: GrantExtension returned %v", term, got)
 		}
 	}
@@ -39,14 +39,14 @@
 // TestUnansweredClaimRefusesEarlierTerms checks a node that has claimed a free class and got no reply. The
 // claim may still be executed, so the node must not grant an extension for any earlier term.
 func TestUnansweredClaimRefusesEarlierTerms(t *testing.T) {
-	n := newTestNode(time.Minute)
-	n.store.Mirror.Revision = 11
-	n.lease, n.leaseEnd = 1, 2*time.Minute
-	n.mapping["small"] = versionedRecord{nodeRecord: nodeRecord{Node: n.Name}, version: 10}
-	n.claimClasses()
-	n.store.LastFail = n.now
+	node := newTestNode(time.Minute)
+	node.store.Mirror.Revision = 11
+	node.lease, node.leaseEnd = 1, 2*time.Minute
+	node.mapping["small"] = versionedRecord{nodeRecord: nodeRecord{Node: node.Name}, version: 10}
+	node.claimClasses()
+	node.store.LastFail = node.now
 	for term, want := range map[uint64]bool{5: false, 12: true} {
-		if got := n.GrantExtension(n.now, map[string]uint64{"small": term}); got != want {
+		if got := node.GrantExtension(node.now, map[string]uint64{"small": term}); got != want {
 			t.Errorf("term %d: GrantExtension returned %v", term, got)
 		}
 	}
@@ -57,7 +57,7 @@
 // earlier incarnation of the peer granted shortens this time.
 func TestExtensionRequiresUptimeOverGap(t *testing.T) {
 	const leaseEnd = 60 * time.Second
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		name            string
 		earlierRequest  time.Duration // time of an earlier request, which was granted; 0 if none
 		request, uptime time.Duration
@@ -75,38 +75,38 @@
 			request: leaseEnd + 8*time.Second, uptime: 400 * time.Millisecond},
 		{name: "peer refuses", request: leaseEnd, uptime: time.Minute, refused: true},
 	} {
-		n := newTestNode(leaseEnd)
-		n.leaseEnd = leaseEnd
-		if c.earlierRequest > 0 {
-			n.Advance(c.earlierRequest)
-			n.RecordExtension("node-1", c.earlierRequest, true, time.Minute)
+		node := newTestNode(leaseEnd)
+		node.leaseEnd = leaseEnd
+		if testCase.earlierRequest > 0 {
+			node.Advance(testCase.earlierRequest)
+			node.RecordExtension("node-1", testCase.earlierRequest, true, time.Minute)
 		}
-		n.Advance(c.request)
-		n.RecordExtension("node-1", c.request, !c.refused, c.uptime)
-		if got := n.extensions["node-1"] > n.now; got != c.valid {
-			t.Errorf("%s: the extension is valid: %v", c.name, got)
+		node.Advance(testCase.request)
+		node.RecordExtension("node-1", testCase.request, !testCase.refused, testCase.uptime)
+		if got := node.extensions["node-1"] > node.now; got != testCase.valid {
+			t.Errorf("%s: the extension is valid: %v", testCase.name, got)
 		}
 	}
 	if limits.GrantTTL <= limits.ExtensionTTL {
-		t.Error("an extension must end later for the peer that granted it than for the asker")
+		t.Error("an extension must end later for the peer that granted it than for the node that received it")
 	}
 }
 
 // TestClaimWaitsForRecordsBeforeItsTerm checks that a node acts on its claim only when the mirror includes
-// all records before the claim's term. Successors rely on this. After a watch is answered with 410, the keys
+// all records before the claim's term. Later owners rely on this. After a watch is answered with 410, the keys
 // are read again in pages: the pages can include the claim but miss a cancellation that was written before
 // the claim and after the page for the cancellation's key was read.
 func TestClaimWaitsForRecordsBeforeItsTerm(t *testing.T) {
 	const term = 20
-	n := newTestNode(time.Minute)
-	n.lease, n.leaseEnd = 1, 2*time.Minute
-	n.mapping["small"] = versionedRecord{nodeRecord: nodeRecord{Node: n.Name}, version: 10}
-	n.owners["small"] = versionedRecord{nodeRecord: n.ownRecord(), version: term}
-	n.lastOwners["small"] = n.Name
+	node := newTestNode(time.Minute)
+	node.lease, node.leaseEnd = 1, 2*time.Minute
+	node.mapping["small"] = versionedRecord{nodeRecord: nodeRecord{Node: node.Name}, version: 10}
+	node.owners["small"] = versionedRecord{nodeRecord: node.ownRecord(), version: term}
+	node.lastOwners["small"] = node.Name
 	for _, revision := range []uint64{term - 5, term - 1, term} {
-		n.store.Mirror.Revision = revision
-		n.reconcileClaims()
-		if active, want := n.claims["small"] != nil, revision >= term; active != want {
+		node.store.Mirror.Revision = revision
+		node.reconcileClaims()
+		if active, want := node.claims["small"] != nil, revision >= term; active != want {
 			t.Errorf("mirror at revision %d: claim is active: %v", revision, active)
 		}
 	}
--- a/internal/reachability/monitor_test.go
+++ b/internal/reachability/monitor_test.go
@@ -23,10 +23,11 @@
 	now     time.Duration
 	nextID  uint64
 	pending []pendingReply
-	// outboundOpen and inboundOpen state whether each direction works; refusing: requests are
-	// answered with a refusal.
+	// outboundOpen and inboundOpen state whether each direction works. If refusing is set, requests
+	// are answered with a refusal.
 	outboundOpen, inboundOpen, refusing bool
-	// drawGap and drawLatency return a random time to the next message and until an answer.
+	// drawGap returns a random time until the next message, drawLatency a random time until an
+	// answer.
 	drawGap, drawLatency func() time.Duration
 	nextRequest          time.Duration
 	nextMessage          time.Duration
@@ -71,7 +72,8 @@
 	}
 }
 
-// exchange sends what is due, and delivers due messages and replies to the monitor.
+// exchange sends the messages and requests that are due, and delivers due messages and replies to
+// the monitor.
 func (sim *simulatedLink) exchange() {
 	if sim.now >= sim.nextMessage {
 		sim.nextMessage = sim.now + sim.drawGap()
--- a/internal/reachability/view_test.go
+++ b/internal/reachability/view_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// numbered returns the view with the given incarnation and number.
-func numbered(view View, incarnation, number uint64) View {
+// withNumber returns a copy of the view with the given incarnation and number.
+func withNumber(view View, incarnation, number uint64) View {
 	view.Life, view.Number = incarnation, number
 	return view
 }
@@ -61,12 +61,12 @@
 func TestOutdatedViewsAreIgnored(t *testing.T) {
 	views := NewViewSet("a", 5*time.Second)
 	views.Add(newView("a", Down, Up), 10*time.Second)
-	views.Add(numbered(newView("b", Down, Up), 7, 2), 10*time.Second)
-	views.Add(numbered(newView("b", Up, Up), 7, 1), 11*time.Second)
+	views.Add(withNumber(newView("b", Down, Up), 7, 2), 10*time.Second)
+	views.Add(withNumber(newView("b", Up, Up), 7, 1), 11*time.Second)
 	if got := views.Loss(StateDependency, 11*time.Second); got != Shared {
 		t.Errorf("%s after a view that arrived late, want shared", got)
 	}
-	views.Add(numbered(newView("b", Up, Up), 8, 1), 12*time.Second)
+	views.Add(withNumber(newView("b", Up, Up), 8, 1), 12*time.Second)
 	if got := views.Loss(StateDependency, 12*time.Second); got != Alone {
 		t.Errorf("%s after a view of a restarted process, want alone", got)
 	}
@@ -77,7 +77,7 @@
 
 // TestSuspendedLinkKeepsItsPenalty checks that a link that flapped stays suppressed while it is
 // suspended. Links to workers are suspended while a controller owns no class, and must not count as
-// working at once when it owns one again.
+// working at once when the controller owns a class again.
 func TestSuspendedLinkKeepsItsPenalty(t *testing.T) {
 	monitor := NewMonitor(testSettings(), 0)
 	link := Link{Kind: Workers, Name: "small a"}
--- a/internal/statestore/record_table_bench_test.go
+++ b/internal/statestore/record_table_bench_test.go
@@ -36,13 +36,13 @@
 				now += time.Second
 				store.Tick(now)
 				table.Write()
-				for _, c := range store.Tick(now) {
+				for _, call := range store.Tick(now) {
 					revision++
 					reply, err := wire.Encode(wire.TxnReply{Revision: revision})
 					if err != nil {
 						b.Fatal(err)
 					}
-					store.HandleReply(now, c.ID, 200, reply)
+					store.HandleReply(now, call.ID, 200, reply)
 				}
 				for _, change := range store.Mirror.TakeChanges() {
 					table.Apply(change)
--- a/internal/statestore/record_table_test.go
+++ b/internal/statestore/record_table_test.go
@@ -35,7 +35,7 @@
 	revision      uint64            // of the state service
 	term          uint64            // version of the ownership guard; 0: not the owner
 	writes        int               // number of executed writes
-	maxValueBytes int               // most bytes of a value
+	maxValueBytes int               // maximum size of a value
 }
 
 func newTableHarness(t interface{ Fatalf(string, ...any) }) *tableHarness {
@@ -55,21 +55,21 @@
 	return h
 }
 
-// step advances the time and executes the transactions that the table sends. nextOutcome
-// returns the outcome of each: 0 executed and answered, 1 executed but the reply is lost,
-// 2 the request is lost.
+// step advances the time and executes the transactions that the table sends. nextOutcome returns
+// the outcome of each transaction: 0 if it is executed and answered, 1 if it is executed but the
+// reply is lost, 2 if the request is lost.
 func (h *tableHarness) step(t interface{ Fatalf(string, ...any) }, nextOutcome func() int) {
 	h.now += 2 * time.Second
 	h.store.Tick(h.now)
 	h.table.Write()
-	for _, c := range h.store.Tick(h.now) {
-		txn := c.Body.(wire.Txn)
+	for _, call := range h.store.Tick(h.now) {
+		txn := call.Body.(wire.Txn)
 		if len(txn.Then) > h.store.MaxTxnOps || len(txn.Guards) > 4*h.store.MaxTxnOps {
 			t.Fatalf("a transaction has %d writes and %d guards, more than is allowed", len(txn.Then), len(txn.Guards))
 		}
 		outcome := nextOutcome()
 		if outcome == 2 {
-			h.store.HandleReply(h.now, c.ID, 0, nil)
+			h.store.HandleReply(h.now, call.ID, 0, nil)
 			continue
 		}
 		failed := false
@@ -79,7 +79,7 @@
 			}
 		}
 		if failed {
-			h.store.HandleReply(h.now, c.ID, 409, nil)
+			h.store.HandleReply(h.now, call.ID, 409, nil)
 			continue
 		}
 		h.revision++
@@ -97,9 +97,9 @@
 		}
 		if outcome == 0 {
 			raw, _ := wire.Encode(wire.TxnReply{Revision: h.revision})
-			h.store.HandleReply(h.now, c.ID, 200, raw)
+			h.store.HandleReply(h.now, call.ID, 200, raw)
 		} else {
-			h.store.HandleReply(h.now, c.ID, 0, nil)
+			h.store.HandleReply(h.now, call.ID, 0, nil)
 		}
 	}
 	for key, raw := range h.stored { // in place of the watch
@@ -144,9 +144,9 @@
 	})
 }
 
-// TestFullKeysAreSplit checks that a key that was filled under larger limits is not rejected
-// forever under smaller limits. The excess records must move to other keys, none may be lost or
-// reported as removed, and every write must fit the limits.
+// TestFullKeysAreSplit checks that the records of a key that was filled under larger limits can
+// still be written after the limits have shrunk. The excess records must move to other keys, none
+// may be lost or reported as removed, and every write must fit the limits.
 func TestFullKeysAreSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newTableHarness(t)
@@ -221,19 +221,19 @@
 // TestProgressLeavesTokensForUsers checks that submissions do not wait because writes of machine
 // records and done bits have used up the write budget.
 func TestProgressLeavesTokensForUsers(t *testing.T) {
-	s := New(150, 20, 8, 4)
-	s.Mirror.requestInFlight = true
-	s.SetShare(0.2, 0.2)
-	s.Tick(time.Second)
+	store := New(150, 20, 8, 4)
+	store.Mirror.requestInFlight = true
+	store.SetShare(0.2, 0.2)
+	store.Tick(time.Second)
 	for i := 0; i < 50; i++ {
-		s.Txn(PriorityProgress, 0, wire.Txn{Then: []wire.Op{{Key: "x"}}}, func(Reply) {})
+		store.Txn(PriorityProgress, 0, wire.Txn{Then: []wire.Op{{Key: "x"}}}, func(Reply) {})
 	}
 	for now := time.Second; now < 6*time.Second; now += 100 * time.Millisecond {
-		for _, c := range s.Tick(now) {
-			s.HandleReply(now, c.ID, 200, nil)
+		for _, c := range store.Tick(now) {
+			store.HandleReply(now, c.ID, 200, nil)
 		}
 	}
-	if w := s.WriteWait(PriorityUser); w > 0 {
+	if w := store.WriteWait(PriorityUser); w > 0 {
 		t.Errorf("a submission would wait %v for the write budget", w)
 	}
 }
--- a/internal/statestore/store_test.go
+++ b/internal/statestore/store_test.go
@@ -22,25 +22,27 @@
 // watch call.
 func newLoadedStore(t *testing.T) (*Store, uint64) {
 	t.Helper()
-	s := New(150, 20, 8, 4)
-	calls := s.Tick(time.Second)
+	store := New(150, 20, 8, 4)
+	calls := store.Tick(time.Second)
 	if len(calls) != 1 || !strings.HasPrefix(calls[0].Path, "/kv?") {
 		t.Fatalf("first calls are %+v, want one read of keys", calls)
 	}
-	s.HandleReply(time.Second, calls[0].ID, 200, mustEncode(t, map[string]any{"rows": []any{}, "ledger": 5}))
-	calls = s.Tick(time.Second)
+	store.HandleReply(time.Second, calls[0].ID, 200, mustEncode(t, map[string]any{"rows": []any{}, "ledger": 5}))
+	calls = store.Tick(time.Second)
 	if len(calls) != 1 || !strings.Contains(calls[0].Path, "since=5") {
 		t.Fatalf("calls after the full read are %+v, want one watch from revision 5", calls)
 	}
-	return s, calls[0].ID
+	return store, calls[0].ID
 }
 
+// TestBudgetAndPriority checks that writes stay within the node's share of the write budget, and
+// that transactions of users are sent before those that record progress.
 func TestBudgetAndPriority(t *testing.T) {
-	s, _ := newLoadedStore(t)
-	s.SetShare(0.5, 0.5) // 9 writes per second
+	store, _ := newLoadedStore(t)
+	store.SetShare(0.5, 0.5) // 9 writes per second
 	var order []string
 	write := func(p Priority, name string) {
-		s.Txn(p, 0, wire.Txn{Then: []wire.Op{{Key: name}, {Key: name}, {Key: name}}}, func(Reply) { order = append(order, name) })
+		store.Txn(p, 0, wire.Txn{Then: []wire.Op{{Key: name}, {Key: name}, {Key: name}}}, func(Reply) { order = append(order, name) })
 	}
 	for i := 0; i < 4; i++ {
 		write(PriorityProgress, "progress")
@@ -48,9 +50,9 @@
 	}
 	sent := 0
 	for now := time.Second; now <= 4*time.Second; now += 100 * time.Millisecond {
-		for _, c := range s.Tick(now) {
+		for _, c := range store.Tick(now) {
 			sent += 3
-			s.HandleReply(now, c.ID, 200, nil)
+			store.HandleReply(now, c.ID, 200, nil)
 		}
 		if over := float64(sent) - 9 - 9*(now-time.Second).Seconds(); over > 0.01 {
 			t.Fatalf("%d writes sent in %v, which exceeds the budget", sent, now-time.Second)
@@ -61,53 +63,59 @@
 	}
 }
 
+// TestRejectionPausesRequestsAndQueueWaitExpires checks that a node sends nothing for a while after
+// a 503 of the state service, and that a request that has waited too long in the queue ends with
+// status 503.
 func TestRejectionPausesRequestsAndQueueWaitExpires(t *testing.T) {
-	s, _ := newLoadedStore(t)
+	store, _ := newLoadedStore(t)
 	got, now := 0, 2*time.Second
-	s.Get(PriorityUser, 5*time.Second, "k", func(r Reply) { got = r.Status })
-	c := s.Tick(now)
-	s.HandleReply(now, c[0].ID, 503, nil)
-	if got != 503 || !s.Down() {
-		t.Fatalf("after a 503: status %d, Down() = %v", got, s.Down())
-	}
-	s.Get(PriorityUser, 100*time.Millisecond, "k", func(r Reply) { got = -r.Status })
-	if c := s.Tick(now + 50*time.Millisecond); len(c) != 0 {
+	store.Get(PriorityUser, 5*time.Second, "k", func(r Reply) { got = r.Status })
+	calls := store.Tick(now)
+	store.HandleReply(now, calls[0].ID, 503, nil)
+	if got != 503 || !store.Down() {
+		t.Fatalf("after a 503: status %d, Down() = %v", got, store.Down())
+	}
+	store.Get(PriorityUser, 100*time.Millisecond, "k", func(r Reply) { got = -r.Status })
+	if c := store.Tick(now + 50*time.Millisecond); len(c) != 0 {
 		t.Fatalf("sent %+v during the backoff", c)
 	}
-	s.Tick(now + 150*time.Millisecond)
+	store.Tick(now + 150*time.Millisecond)
 	if got != -503 {
 		t.Errorf("callback of a request whose wait expired set %d, want -503", got)
 	}
-	s.HandleReply(3*time.Second, 9999, 200, nil) // a reply to an unknown call is ignored
+	store.HandleReply(3*time.Second, 9999, 200, nil) // a reply to an unknown call is ignored
 }
 
+// TestMirrorFollowsWatchAndReloads checks that the mirror applies the changes of a watch and reads
+// all keys again after a 410, when the service no longer has the missed changes. Keys that were
+// removed meanwhile must disappear, and no change between the pages may be missed.
 func TestMirrorFollowsWatchAndReloads(t *testing.T) {
-	s, watch := newLoadedStore(t)
-	s.HandleReply(2*time.Second, watch, 200, mustEncode(t, map[string]any{"ledger": 9, "news": []any{
+	store, watch := newLoadedStore(t)
+	store.HandleReply(2*time.Second, watch, 200, mustEncode(t, map[string]any{"ledger": 9, "news": []any{
 		map[string]any{"put": "u/a", "v": 1, "stamp": 7}, map[string]any{"put": "u/b", "v": 1, "stamp": 8}, map[string]any{"remove": "u/a", "stamp": 9}}}))
-	if _, ok := s.Mirror.Get("u/a"); ok || s.Mirror.Revision != 9 || len(s.Mirror.TakeChanges()) != 3 {
+	if _, ok := store.Mirror.Get("u/a"); ok || store.Mirror.Revision != 9 || len(store.Mirror.TakeChanges()) != 3 {
 		t.Fatal("the mirror did not apply the changes of the watch")
 	}
-	c := s.Tick(2 * time.Second)
-	s.HandleReply(2*time.Second, c[0].ID, 410, nil)
+	calls := store.Tick(2 * time.Second)
+	store.HandleReply(2*time.Second, calls[0].ID, 410, nil)
 	// The mirror reads all keys again, in two pages, and removes the keys that are on neither.
-	c = s.Tick(2 * time.Second)
-	s.HandleReply(2*time.Second, c[0].ID, 200, mustEncode(t, map[string]any{"rows": []any{map[string]any{"path": "u/c", "v": 1, "stamp": 20}}, "hasNext": true, "ledger": 30}))
-	c = s.Tick(2 * time.Second)
-	if !strings.Contains(c[0].Path, "since=u%2Fc") {
-		t.Fatalf("calls for the second page are %+v", c)
-	}
-	s.HandleReply(2*time.Second, c[0].ID, 200, mustEncode(t, map[string]any{"rows": []any{map[string]any{"path": "u/d", "v": 1, "stamp": 31}}, "ledger": 33}))
-	if _, ok := s.Mirror.Get("u/b"); ok {
+	calls = store.Tick(2 * time.Second)
+	store.HandleReply(2*time.Second, calls[0].ID, 200, mustEncode(t, map[string]any{"rows": []any{map[string]any{"path": "u/c", "v": 1, "stamp": 20}}, "hasNext": true, "ledger": 30}))
+	calls = store.Tick(2 * time.Second)
+	if !strings.Contains(calls[0].Path, "since=u%2Fc") {
+		t.Fatalf("calls for the second page are %+v", calls)
+	}
+	store.HandleReply(2*time.Second, calls[0].ID, 200, mustEncode(t, map[string]any{"rows": []any{map[string]any{"path": "u/d", "v": 1, "stamp": 31}}, "ledger": 33}))
+	if _, ok := store.Mirror.Get("u/b"); ok {
 		t.Error("the mirror still has a key that was on no page")
 	}
-	c = s.Tick(3 * time.Second)
-	if !strings.Contains(c[0].Path, "since=30") {
-		t.Errorf("the watch continues with %s, want the first page's revision", c[0].Path)
+	calls = store.Tick(3 * time.Second)
+	if !strings.Contains(calls[0].Path, "since=30") {
+		t.Errorf("the watch continues with %s, want the first page's revision", calls[0].Path)
 	}
 	// A removal that is older than the key's version is ignored.
-	s.HandleReply(2*time.Second, c[0].ID, 200, mustEncode(t, map[string]any{"ledger": 34, "news": []any{map[string]any{"remove": "u/d", "stamp": 30}}}))
-	if _, ok := s.Mirror.Get("u/d"); !ok {
+	store.HandleReply(2*time.Second, calls[0].ID, 200, mustEncode(t, map[string]any{"ledger": 34, "news": []any{map[string]any{"remove": "u/d", "stamp": 30}}}))
+	if _, ok := store.Mirror.Get("u/d"); !ok {
 		t.Error("an old removal removed a newer key")
 	}
 }
@@ -116,35 +124,35 @@
 // watches and status queries have used up the node's request budget. Keys change and users query
 // all the time, and every submission must still be sent at once.
 func TestWatchesAndQueriesLeaveRequestsForSubmissions(t *testing.T) {
-	s, watch := newLoadedStore(t)
-	s.SetShare(1.0/7, 1.0/7)
+	store, watch := newLoadedStore(t)
+	store.SetShare(1.0/7, 1.0/7)
 	watches, queries := 0, 0
 	var unanswered []uint64
 	for now := time.Second; now < 20*time.Second; now += 10 * time.Millisecond {
-		s.HandleReply(now, watch, 200, mustEncode(t, map[string]any{"ledger": 10 + now.Milliseconds(), "news": []any{}}))
+		store.HandleReply(now, watch, 200, mustEncode(t, map[string]any{"ledger": 10 + now.Milliseconds(), "news": []any{}}))
 		for _, id := range unanswered {
-			s.HandleReply(now, id, 200, nil)
+			store.HandleReply(now, id, 200, nil)
 		}
 		unanswered = nil
 		for i := 0; i < 3; i++ {
-			s.Get(PriorityQuery, time.Second, "k", func(Reply) {})
+			store.Get(PriorityQuery, time.Second, "k", func(Reply) {})
 		}
 		submitted := now%(500*time.Millisecond) == 0
 		if submitted {
-			s.Txn(PriorityUser, time.Second, wire.Txn{Then: []wire.Op{{Key: "job"}}}, func(Reply) {})
+			store.Txn(PriorityUser, time.Second, wire.Txn{Then: []wire.Op{{Key: "job"}}}, func(Reply) {})
 		}
 		sent := false
-		for _, c := range s.Tick(now) {
+		for _, call := range store.Tick(now) {
 			switch {
-			case strings.HasPrefix(c.Path, "/watch"):
-				watch = c.ID
+			case strings.HasPrefix(call.Path, "/watch"):
+				watch = call.ID
 				watches++
-			case c.Method == "POST":
+			case call.Method == "POST":
 				sent = true
-				unanswered = append(unanswered, c.ID)
+				unanswered = append(unanswered, call.ID)
 			default:
 				queries++
-				unanswered = append(unanswered, c.ID)
+				unanswered = append(unanswered, call.ID)
 			}
 		}
 		if submitted && !sent {
@@ -157,28 +165,28 @@
 }
 
 // TestSmallWritesDoNotStarveLargeTransactions checks that transactions with several writes are sent
-// although a stream of single writes of a lower priority, more than the budget allows, could take
-// every token first.
+// although a stream of single writes of a lower priority exceeds the budget. The single writes
+// could take every token before a large transaction has enough of them.
 func TestSmallWritesDoNotStarveLargeTransactions(t *testing.T) {
-	s, _ := newLoadedStore(t)
-	s.SetShare(0.5, 0.5) // 9 writes per second
+	store, _ := newLoadedStore(t)
+	store.SetShare(0.5, 0.5) // 9 writes per second
 	records, completions := 0, 0
 	for now := time.Second; now <= 11*time.Second; now += 50 * time.Millisecond {
 		if now%(2*time.Second) == 0 {
-			s.Txn(PriorityRecords, time.Second, wire.Txn{Then: make([]wire.Op, 7)}, func(r Reply) {
+			store.Txn(PriorityRecords, time.Second, wire.Txn{Then: make([]wire.Op, 7)}, func(r Reply) {
 				if r.Status == OK {
 					records++
 				}
 			})
 		}
-		s.Txn(PriorityFinish, 3*time.Second, wire.Txn{Then: make([]wire.Op, 1)}, func(r Reply) {
+		store.Txn(PriorityFinish, 3*time.Second, wire.Txn{Then: make([]wire.Op, 1)}, func(r Reply) {
 			if r.Status == OK {
 				completions++
 			}
 		})
-		for _, c := range s.Tick(now) {
+		for _, c := range store.Tick(now) {
 			if c.Method == "POST" {
-				s.HandleReply(now, c.ID, 200, nil)
+				store.HandleReply(now, c.ID, 200, nil)
 			}
 		}
 	}
@@ -192,12 +200,12 @@
 // the last key read, is in no page: only the watch from the first page's revision reports it. Until
 // then KnownThrough must not pass the time at which the first page was requested.
 func TestFullReadIsNoNewerThanItsFirstPage(t *testing.T) {
-	s, watch := newLoadedStore(t)
-	cancelled, job := Root+"c/job-1", Root+"o/job-1"
-	s.HandleReply(2*time.Second, watch, 410, nil)
+	store, watch := newLoadedStore(t)
+	cancellationKey, jobKey := Root+"c/job-1", Root+"o/job-1"
+	store.HandleReply(2*time.Second, watch, 410, nil)
 	nextCall := func(now time.Duration, wantPath string) uint64 {
 		t.Helper()
-		calls := s.Tick(now)
+		calls := store.Tick(now)
 		if len(calls) != 1 || !strings.Contains(calls[0].Path, wantPath) {
 			t.Fatalf("unexpected calls at %v: %+v", now, calls)
 		}
@@ -206,29 +214,29 @@
 	row := func(key string, version uint64) map[string]any {
 		return map[string]any{"path": key, "v": true, "stamp": version}
 	}
-	before := s.Mirror.KnownThrough
+	before := store.Mirror.KnownThrough
 	first := nextCall(3*time.Second, "/kv?")
-	s.HandleReply(4*time.Second, first, 200, mustEncode(t, map[string]any{"rows": []any{row(Root+"a", 3)}, "hasNext": true, "ledger": 10}))
+	store.HandleReply(4*time.Second, first, 200, mustEncode(t, map[string]any{"rows": []any{row(Root+"a", 3)}, "hasNext": true, "ledger": 10}))
 	// Between the pages, this node accepts job-1 in revision 11, and another node cancels
 	// it in revision 12.
 	second := nextCall(5*time.Second, "since="+"u%2Fa")
-	s.Mirror.Put(job, mustEncode(t, true), 11)
-	if s.Mirror.KnownThrough != before {
-		t.Errorf("KnownThrough became %v before the last page was read", s.Mirror.KnownThrough)
+	store.Mirror.Put(jobKey, mustEncode(t, true), 11)
+	if store.Mirror.KnownThrough != before {
+		t.Errorf("KnownThrough became %v before the last page was read", store.Mirror.KnownThrough)
 	}
-	s.HandleReply(6*time.Second, second, 200, mustEncode(t, map[string]any{"rows": []any{row(Root+"z", 4)}, "ledger": 12}))
-	if s.Mirror.KnownThrough != 3*time.Second {
-		t.Errorf("KnownThrough is %v after a full read that began at 3 s", s.Mirror.KnownThrough)
+	store.HandleReply(6*time.Second, second, 200, mustEncode(t, map[string]any{"rows": []any{row(Root+"z", 4)}, "ledger": 12}))
+	if store.Mirror.KnownThrough != 3*time.Second {
+		t.Errorf("KnownThrough is %v after a full read that began at 3 s", store.Mirror.KnownThrough)
 	}
 	third := nextCall(7*time.Second, "since=10")
-	s.HandleReply(8*time.Second, third, 200, mustEncode(t, map[string]any{"ledger": 12, "news": []any{
-		map[string]any{"put": job, "v": true, "stamp": 11}, map[string]any{"put": cancelled, "v": true, "stamp": 12}}}))
-	for _, key := range []string{job, cancelled} {
-		if _, ok := s.Mirror.Get(key); !ok {
+	store.HandleReply(8*time.Second, third, 200, mustEncode(t, map[string]any{"ledger": 12, "news": []any{
+		map[string]any{"put": jobKey, "v": true, "stamp": 11}, map[string]any{"put": cancellationKey, "v": true, "stamp": 12}}}))
+	for _, key := range []string{jobKey, cancellationKey} {
+		if _, ok := store.Mirror.Get(key); !ok {
 			t.Errorf("%s is missing from the mirror", key)
 		}
 	}
-	if s.Mirror.KnownThrough != 7*time.Second {
-		t.Errorf("KnownThrough is %v after a watch that was sent at 7 s", s.Mirror.KnownThrough)
+	if store.Mirror.KnownThrough != 7*time.Second {
+		t.Errorf("KnownThrough is %v after a watch that was sent at 7 s", store.Mirror.KnownThrough)
 	}
 }
--- a/internal/wire/fuzz_test.go
+++ b/internal/wire/fuzz_test.go
@@ -37,19 +37,19 @@
 func FuzzParseSubmission(f *testing.F) {
 	addSeeds(f)
 	f.Fuzz(func(t *testing.T, body []byte) {
-		s, err := ParseSubmission(body)
+		submission, err := ParseSubmission(body)
 		if err != nil {
 			return
 		}
-		if !ValidJobID(s.ID) || s.Tasks < 1 || s.Team == "" || s.CPUs < 0 || s.MemoryGB < 0 {
-			t.Fatalf("accepted: %+v", s)
+		if !ValidJobID(submission.ID) || submission.Tasks < 1 || submission.Team == "" || submission.CPUs < 0 || submission.MemoryGB < 0 {
+			t.Fatalf("accepted: %+v", submission)
 		}
-		record, err := Encode(s.Job)
+		record, err := Encode(submission.Job)
 		if err != nil {
 			t.Fatal(err)
 		}
 		var decoded Job
-		if err := Decode(record, &decoded); err != nil || decoded.ID != s.ID || decoded.Gang != s.Gang {
+		if err := Decode(record, &decoded); err != nil || decoded.ID != submission.ID || decoded.Gang != submission.Gang {
 			t.Fatalf("the record was decoded as %+v, error %v", decoded, err)
 		}
 	})
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -27,6 +27,8 @@
 	return ParseSubmission(b)
 }
 
+// TestParseSubmission checks that each field of a submission is parsed into the job, and that
+// unknown fields are ignored.
 func TestParseSubmission(t *testing.T) {
 	got, err := parseFields(t, validSubmission())
 	if err != nil {
@@ -39,14 +41,17 @@
 	}
 }
 
+// TestParseGang checks that a submission with the form gang is parsed as a gang.
 func TestParseGang(t *testing.T) {
 	fields := validSubmission()
 	fields["form"] = "gang"
 	if s, err := parseFields(t, fields); err != nil || !s.Gang {
-		t.Errorf("got %+v, %v", s, err)
+		t.Errorf("parsed %+v, error %v; want a gang", s, err)
 	}
 }
 
+// TestParseSubmissionRejectsInvalid checks that an invalid field leads to an error that starts with
+// the name of the field, and that missing fields and malformed bodies are rejected.
 func TestParseSubmissionRejectsInvalid(t *testing.T) {
 	invalid := map[string]any{"id": "job-x", "form": "choir", "urgency": "now", "sheets": 0, "cores": math.NaN(), "ramGb": -1.0,
 		"reckonS": math.Inf(1), "crew": 7, "builds": "g8", "oneZone": "yes", "dueS": "soon", "plate": 3, "docket": nil}
@@ -79,8 +84,8 @@
 			t.Errorf("sheets=%v: accepted", v)
 		}
 	}
-	// Some of these bodies announce billions of entries in a few bytes. Without
-	// CheckWellFormed, a body of 40 bytes used up all memory.
+	// Some of these bodies declare billions of entries in a few bytes. Without CheckWellFormed, a
+	// body of 40 bytes uses up all memory.
 	for _, b := range [][]byte{nil, {0xc1}, {0x93, 1, 2, 3}, {0xc0}, bytes.Repeat([]byte{0xdf}, 40), {0xdd, 0xff, 0xff, 0xff, 0xff}, bytes.Repeat([]byte{0x91}, 1000), {0x81, 0xa1, 'a'}} {
 		if _, err := ParseSubmission(b); err == nil {
 			t.Errorf("% x: accepted", b)
@@ -93,11 +98,11 @@
 func TestLongTextsFitRecord(t *testing.T) {
 	fields := validSubmission()
 	fields["plate"], fields["docket"] = strings.Repeat("p", 20000), strings.Repeat("d", 20000)
-	s, err := parseFields(t, fields)
+	submission, err := parseFields(t, fields)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b, err := Encode(s.Job); err != nil || len(b) > 1024 {
+	if b, err := Encode(submission.Job); err != nil || len(b) > 1024 {
 		t.Errorf("record of %d bytes, %v", len(b), err)
 	}
 }
@@ -111,7 +116,7 @@
 	}
 	want := "\x82\xa5baton\x29\xa6orders\x91\x84\xa4verb\xa4stop\xa5sheet\xa7job-1/0\xa3try\x02\xa7leewayS\xcb\x40\x24\x00\x00\x00\x00\x00\x00"
 	if string(got) != want {
-		t.Errorf("got %q", got)
+		t.Errorf("encoded as %q", got)
 	}
 	in := "\x87\xa3hut\xa3i-1\xa5build\xa2g8\xa5shift\x01\xa5tally\xcc\xc8\xa5baton\x29\xa7recallS\xc0\xa6sheets\x91\x84\xa5sheet\xa7job-1/0\xa3try\x02\xa6status\xa5ended\xa5cause\xa4done"
 	var heartbeat Heartbeat
@@ -123,18 +128,20 @@
 	}
 }
 
+// TestCheckAcceptsEncoderOutput checks that CheckWellFormed accepts every kind of value that the
+// encoder writes, and rejects the same value without its last byte.
 func TestCheckAcceptsEncoderOutput(t *testing.T) {
 	for _, v := range []any{validSubmission(), []any{uint64(1 << 60), int64(-1 << 40), -5, 300, 70000, 1.5, float32(2), nil, true,
 		strings.Repeat("x", 20), strings.Repeat("x", 300), strings.Repeat("x", 70000)}, make([]int, 20), make([]int, 70000)} {
-		b, err := Encode(v)
+		encoded, err := Encode(v)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := CheckWellFormed(b); err != nil {
-			t.Errorf("%T of %d bytes: %v", v, len(b), err)
+		if err := CheckWellFormed(encoded); err != nil {
+			t.Errorf("%T of %d bytes: %v", v, len(encoded), err)
 		}
-		if err := CheckWellFormed(b[:len(b)-1]); err == nil {
-			t.Errorf("%T of %d bytes without its last byte: accepted", v, len(b))
+		if err := CheckWellFormed(encoded[:len(encoded)-1]); err == nil {
+			t.Errorf("%T of %d bytes without its last byte: accepted", v, len(encoded))
 		}
 	}
 }
@@ -148,20 +155,22 @@
 	} {
 		fields := validSubmission()
 		fields["docket"] = text
-		s, err := parseFields(t, fields)
+		submission, err := parseFields(t, fields)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		b, err := json.Marshal(s.Class)
+		encoded, err := json.Marshal(submission.Class)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(b)-2 > limits.MaxTextBytes || len(s.Class) < limits.MaxTextBytes/6-1 {
-			t.Errorf("%s: truncated to %d bytes, %d in JSON", name, len(s.Class), len(b)-2)
+		if len(encoded)-2 > limits.MaxTextBytes || len(submission.Class) < limits.MaxTextBytes/6-1 {
+			t.Errorf("%s: truncated to %d bytes, %d in JSON", name, len(submission.Class), len(encoded)-2)
 		}
 	}
 }
 
+// TestHeartbeatValidation checks that a heartbeat without a machine, with too long texts or with a
+// recall time that is not finite is invalid. A recall time that has just passed is valid.
 func TestHeartbeatValidation(t *testing.T) {
 	validHeartbeat := func() *Heartbeat { return &Heartbeat{Machine: "i-1", Address: "10.1.0.1:9000", Type: "g8", Zone: "a"} }
 	if err := validHeartbeat().Validate(); err != nil {
--- a/internal/workers/pool_test.go
+++ b/internal/workers/pool_test.go
@@ -16,8 +16,11 @@
 	return heartbeat
 }
 
+// TestHeartbeatVerdicts checks which heartbeats the pool uses. It must not use the task list of a
+// late heartbeat or of a heartbeat with an earlier fencing token, since tasks may have started or
+// ended since then.
 func TestHeartbeatVerdicts(t *testing.T) {
-	p := New(14, 1.5)
+	pool := New(14, 1.5)
 	steps := []struct {
 		name      string
 		heartbeat *wire.Heartbeat
@@ -37,37 +40,38 @@
 		{"the new term's token makes the heartbeat current", newHeartbeat(2, 4, 11, "j/2"), 11, Current, true, 1},
 	}
 	for _, step := range steps {
-		m, verdict := p.ReceiveHeartbeat(time.Second, step.heartbeat, step.term, 0)
+		m, verdict := pool.ReceiveHeartbeat(time.Second, step.heartbeat, step.term, 0)
 		if verdict != step.want || m.Adopted != step.adopted || len(m.Tasks) != step.tasks {
 			t.Errorf("%s: verdict %v, adopted %v, %d tasks", step.name, verdict, m.Adopted, len(m.Tasks))
 		}
 	}
 }
 
-// TestLeaseEndsNoSoonerThanOnWorker checks that the pool does not take a lease as ended while the
+// TestLeaseEndsNoSoonerThanOnWorker checks that the pool does not consider a lease as ended while the
 // worker may still hold it. The worker counts the lease from when it sent the heartbeat, on a clock that
 // may be slower by the allowed drift.
 func TestLeaseEndsNoSoonerThanOnWorker(t *testing.T) {
-	p := New(14, 1.5)
-	m, _ := p.ReceiveHeartbeat(10*time.Second, newHeartbeat(1, 1, 7), 7, 0)
-	if p.Expired(m, 10*time.Second+14*time.Second+7*time.Millisecond) {
+	pool := New(14, 1.5)
+	machine, _ := pool.ReceiveHeartbeat(10*time.Second, newHeartbeat(1, 1, 7), 7, 0)
+	if pool.Expired(machine, 10*time.Second+14*time.Second+7*time.Millisecond) {
 		t.Error("the lease has ended although the worker may still run its tasks")
 	}
-	if !p.Expired(m, 25*time.Second) {
+	if !pool.Expired(machine, 25*time.Second) {
 		t.Error("the lease has not ended after 15 s")
 	}
-	if !m.Usable(12*time.Second, p.HeartbeatInterval) || m.Usable(15*time.Second, p.HeartbeatInterval) {
+	if !machine.Usable(12*time.Second, pool.HeartbeatInterval) || machine.Usable(15*time.Second, pool.HeartbeatInterval) {
 		t.Error("the machine must be usable while its heartbeats arrive, and not when it has been silent for three heartbeat intervals")
 	}
 }
 
+// TestRecallDrainsMachine checks that a machine that the cloud will take away gets no more tasks.
 func TestRecallDrainsMachine(t *testing.T) {
-	p := New(14, 1.5)
+	pool := New(14, 1.5)
 	recalled := newHeartbeat(1, 1, 7)
 	recallS := 12.0
 	recalled.RecallS = &recallS
-	m, _ := p.ReceiveHeartbeat(10*time.Second, recalled, 7, 0)
-	if m.RecallAt != 22*time.Second || m.Usable(10*time.Second, p.HeartbeatInterval) {
-		t.Errorf("recalled at %v, usable %v; want 22s and not usable", m.RecallAt, m.Usable(10*time.Second, p.HeartbeatInterval))
+	m, _ := pool.ReceiveHeartbeat(10*time.Second, recalled, 7, 0)
+	if m.RecallAt != 22*time.Second || m.Usable(10*time.Second, pool.HeartbeatInterval) {
+		t.Errorf("recalled at %v, usable %v; want 22s and not usable", m.RecallAt, m.Usable(10*time.Second, pool.HeartbeatInterval))
 	}
 }
