--- a/internal/allocation/allocation.go
+++ b/internal/allocation/allocation.go
@@ -58,37 +58,37 @@
 
 // allows reports whether the unit's tasks may run on the machine. It does not check
 // free resources.
-func (u *Unit) allows(m *Machine) bool {
-	if (m.reservedFor != "" && m.reservedFor != u.Job) || (m.GangsOnly && !u.Gang) || !u.Classes[m.Class] || (m.Spot && !u.Spot) || (u.Zone != "" && u.Zone != m.Zone) || u.ExcludedMachines[m.ID] {
+func (u *Unit) allows(machine *Machine) bool {
+	if (machine.reservedFor != "" && machine.reservedFor != u.Job) || (machine.GangsOnly && !u.Gang) || !u.Classes[machine.Class] || (machine.Spot && !u.Spot) || (u.Zone != "" && u.Zone != machine.Zone) || u.ExcludedMachines[machine.ID] {
 		return false
 	}
 	if u.OneZone {
 		for zone, placed := range u.PlacedByZone {
-			if placed > 0 && zone != m.Zone {
+			if placed > 0 && zone != machine.Zone {
 				return false
 			}
 		}
 	}
-	return !u.Spread || u.PlacedByZone[m.Zone] < (u.Tasks+1)/2
+	return !u.Spread || u.PlacedByZone[machine.Zone] < (u.Tasks+1)/2
 }
 
-// Team is the demand of one team: its booked resources, its limits, and its units in the
+// Team is the demand of one team: its allocated resources, its limits, and its units in the
 // order in which they should start.
 type Team struct {
-	Name      string
-	Booked    map[string]Resources // by class
-	Unknown   Resources            // may be in use by tasks whose location is unknown; counts toward the limits
-	MaxCPUs   float64              // limit; 0: none
-	MaxGPUs   float64              // limit; 0: none
-	Guarantee Resources            // Memory is ignored; zero: no guarantee
-	Units     []*Unit
+	Name       string
+	Allocated  map[string]Resources // resources of the placed tasks, by class
+	UnknownUse Resources            // may be in use by tasks whose location is unknown; counts toward the limits
+	MaxCPUs    float64              // limit; 0: none
+	MaxGPUs    float64              // limit; 0: none
+	Guarantee  Resources            // Memory is ignored; zero: no guarantee
+	Units      []*Unit
 }
 
-// total returns the booked resources of all classes plus Unknown.
+// total returns the allocated resources of all classes plus UnknownUse.
 func (t *Team) total() Resources {
-	sum := t.Unknown
-	for _, booked := range t.Booked {
-		sum = sum.Add(booked, 1)
+	sum := t.UnknownUse
+	for _, allocated := range t.Allocated {
+		sum = sum.Add(allocated, 1)
 	}
 	return sum
 }
@@ -119,31 +119,31 @@
 
 // rank returns the precedence of a team's next unit; the dominant share decides only
 // between equal ranks. Units within a guarantee come first, then the other units of teams
-// with a guarantee, then those of teams without one, and of these the low-priority units
-// last. Teams without a guarantee therefore use what the others leave, and so does
-// low-priority work where no team has a guarantee.
-func (t *Team) rank(total Resources, u *Unit) int {
+// with a guarantee, then the units of teams without a guarantee, the low-priority units last.
+// Teams without a guarantee therefore use what the others leave, and so does low-priority
+// work where no team has a guarantee.
+func (t *Team) rank(total Resources, unit *Unit) int {
 	switch {
-	case t.withinGuarantee(total, u.startNeed()):
+	case t.withinGuarantee(total, unit.startNeed()):
 		return 3
 	case t.Guarantee != (Resources{}):
 		return 2
-	case !u.LowPriority:
+	case !unit.LowPriority:
 		return 1
 	}
 	return 0
 }
 
-// DominantShare returns a team's dominant share: the largest booked fraction of any resource of any
-// class (equation 12 of the UDRF paper, with booked amounts for x*d).
-func DominantShare(booked, capacity map[string]Resources) float64 {
+// DominantShare returns a team's dominant share: the largest allocated fraction of any resource of any
+// class (equation 12 of the UDRF paper, with allocated amounts for x*d).
+func DominantShare(allocated, capacity map[string]Resources) float64 {
 	share := 0.0
 	include := func(amount, available float64) {
 		if available > 0 {
 			share = math.Max(share, amount/available)
 		}
 	}
-	for class, amounts := range booked {
+	for class, amounts := range allocated {
 		available := capacity[class]
 		include(amounts.CPUs, available.CPUs)
 		include(amounts.GPUs, available.GPUs)
@@ -179,44 +179,45 @@
 	return nil
 }
 
-// book updates the unit, the machines and the team after one task was placed on each of the chosen
-// machines.
-func (t *teamState) book(u *Unit, chosen []*Machine, capacity map[string]Resources) {
-	u.Count -= len(chosen)
-	for _, machine := range chosen {
+// recordPlacements updates the unit, the machines and the team after one task was placed on each of the
+// chosen machines.
+func (t *teamState) recordPlacements(unit *Unit, chosenMachines []*Machine, capacity map[string]Resources) {
+	unit.Count -= len(chosenMachines)
+	for _, machine := range chosenMachines {
 		machine.Busy = true
-		if u.Image != "" && !machine.hasOrFetches(u.Image) {
+		if unit.Image != "" && !machine.hasOrFetches(unit.Image) {
 			if machine.fetching == nil {
 				machine.fetching = map[string]bool{}
 			}
-			machine.fetching[u.Image] = true
+			machine.fetching[unit.Image] = true
 		}
-		t.Booked[machine.Class] = t.Booked[machine.Class].Add(u.Need, 1)
-		t.used = t.used.Add(u.Need, 1)
+		t.Allocated[machine.Class] = t.Allocated[machine.Class].Add(unit.Need, 1)
+		t.used = t.used.Add(unit.Need, 1)
 	}
-	t.share = DominantShare(t.Booked, capacity)
+	t.share = DominantShare(t.Allocated, capacity)
 }
 
 // nextTeam returns the team that starts a unit next, and that unit. It returns nil if no
 // team has a unit that may start.
-func nextTeam(teams []*teamState, failedNeeds map[string][]Resources) (best *teamState, unit *Unit) {
+func nextTeam(teams []*teamState, failedNeeds map[string][]Resources) (bestTeam *teamState, unit *Unit) {
 	bestRank := 0
 	for _, team := range teams {
-		next := team.nextUnit(failedNeeds)
-		if next == nil {
+		candidate := team.nextUnit(failedNeeds)
+		if candidate == nil {
 			continue
 		}
-		rank := team.rank(team.used, next)
-		if best == nil || rank > bestRank || (rank == bestRank && team.share < best.share) {
-			best, unit, bestRank = team, next, rank
+		rank := team.rank(team.used, candidate)
+		if bestTeam == nil || rank > bestRank || (rank == bestRank && team.share < bestTeam.share) {
+			bestTeam, unit, bestRank = team, candidate, rank
 		}
 	}
-	return best, unit
+	return bestTeam, unit
 }
 
 // Run places waiting units on machines until nothing more fits, and returns the placements.
-// largest is the largest unit that unfinished jobs may request, by class: smaller units
-// avoid the machines that it needs. Run changes Free, Busy, Booked, Count and PlacedByZone.
+// largest is the largest unit that unfinished jobs may request, by class: smaller units avoid the
+// machines that the largest unit needs. Run changes Free, Busy, Allocated, Count
+// and PlacedByZone.
 //
 // If a team's next unit fits on no machine, the team continues with its next unit that may still fit
 // (see knownNotToFit); a team without such a unit is skipped. Teams below their guarantee come before
@@ -226,7 +227,7 @@
 	var placements []Placement
 	var states []*teamState
 	for _, team := range teams {
-		states = append(states, &teamState{Team: team, used: team.total(), share: DominantShare(team.Booked, capacity)})
+		states = append(states, &teamState{Team: team, used: team.total(), share: DominantShare(team.Allocated, capacity)})
 		for _, unit := range team.Units {
 			unit.lastMachine = nil
 		}
@@ -242,16 +243,16 @@
 		if team == nil {
 			return placements
 		}
-		chosen := placeUnit(unit, machines, largest)
-		if len(chosen) == 0 {
+		chosenMachines := placeUnit(unit, machines, largest)
+		if len(chosenMachines) == 0 {
 			if unit.fitDependsOnShape() {
 				failedNeeds[unit.Shape] = append(failedNeeds[unit.Shape], unit.Need)
 			}
 			team.nextIndex++
 			continue
 		}
-		team.book(unit, chosen, capacity)
-		for _, machine := range chosen {
+		team.recordPlacements(unit, chosenMachines, capacity)
+		for _, machine := range chosenMachines {
 			placements = append(placements, Placement{team.Name, unit, machine})
 		}
 	}
--- a/internal/allocation/allocation_test.go
+++ b/internal/allocation/allocation_test.go
@@ -43,8 +43,8 @@
 // TestLowestShareGoesFirst checks that free CPUs go to the team with the lowest share of the cloud,
 // until the shares are equal.
 func TestLowestShareGoesFirst(t *testing.T) {
-	a := &Team{Name: "a", Booked: map[string]Resources{"c": {CPUs: 4}}, Units: []*Unit{newUnit("ja", 1, 20)}}
-	b := &Team{Name: "b", Booked: map[string]Resources{}, Units: []*Unit{newUnit("jb", 1, 20)}}
+	a := &Team{Name: "a", Allocated: map[string]Resources{"c": {CPUs: 4}}, Units: []*Unit{newUnit("ja", 1, 20)}}
+	b := &Team{Name: "b", Allocated: map[string]Resources{}, Units: []*Unit{newUnit("jb", 1, 20)}}
 	placements := Run([]*Team{a, b}, []*Machine{newMachine("m", 12)}, map[string]Resources{"c": {CPUs: 16, Memory: 100}}, nil)
 	if len(placements) != 12 || countPlacements(placements, "a") != 4 || countPlacements(placements, "b") != 8 {
 		t.Errorf("a got %d placements and b got %d; want 4 and 8, which give both teams 8 CPUs", countPlacements(placements, "a"), countPlacements(placements, "b"))
@@ -55,8 +55,8 @@
 // its share is higher, and that a team stays within its limit. CPUs that may be in use by tasks
 // whose location is unknown count towards the limit.
 func TestGuaranteePrecedesShareAndLimitCaps(t *testing.T) {
-	a := &Team{Name: "a", Booked: map[string]Resources{"c": {CPUs: 4}}, Guarantee: Resources{CPUs: 8}, Units: []*Unit{newUnit("ja", 1, 20)}}
-	b := &Team{Name: "b", Booked: map[string]Resources{}, MaxCPUs: 3, Unknown: Resources{CPUs: 1}, Guarantee: Resources{CPUs: 0.5}, Units: []*Unit{newUnit("jb", 1, 20)}}
+	a := &Team{Name: "a", Allocated: map[string]Resources{"c": {CPUs: 4}}, Guarantee: Resources{CPUs: 8}, Units: []*Unit{newUnit("ja", 1, 20)}}
+	b := &Team{Name: "b", Allocated: map[string]Resources{}, MaxCPUs: 3, UnknownUse: Resources{CPUs: 1}, Guarantee: Resources{CPUs: 0.5}, Units: []*Unit{newUnit("jb", 1, 20)}}
 	placements := Run([]*Team{a, b}, []*Machine{newMachine("m", 8)}, map[string]Resources{"c": {CPUs: 16, Memory: 100}}, nil)
 	for i := 0; i < 4; i++ {
 		if placements[i].Team != "a" {
@@ -72,8 +72,8 @@
 // nothing while a team with a guarantee has units that fit, even if the share of team guest is
 // lower. After that, team guest uses all that is left.
 func TestTeamsWithoutGuaranteeUseWhatIsLeft(t *testing.T) {
-	a := &Team{Name: "a", Booked: map[string]Resources{"c": {CPUs: 8}}, Guarantee: Resources{CPUs: 4}, Units: []*Unit{newUnit("ja", 3, 2)}}
-	guest := &Team{Name: "guest", Booked: map[string]Resources{}, Units: []*Unit{newUnit("jg", 1, 20)}}
+	a := &Team{Name: "a", Allocated: map[string]Resources{"c": {CPUs: 8}}, Guarantee: Resources{CPUs: 4}, Units: []*Unit{newUnit("ja", 3, 2)}}
+	guest := &Team{Name: "guest", Allocated: map[string]Resources{}, Units: []*Unit{newUnit("jg", 1, 20)}}
 	placements := Run([]*Team{guest, a}, []*Machine{newMachine("m", 8)}, map[string]Resources{"c": {CPUs: 16, Memory: 100}}, nil)
 	if len(placements) != 4 || placements[0].Team != "a" || placements[1].Team != "a" || countPlacements(placements, "guest") != 2 {
 		t.Errorf("%d placements, %d of team a and %d of team guest", len(placements), countPlacements(placements, "a"), countPlacements(placements, "guest"))
@@ -83,8 +83,8 @@
 // TestLowPriorityUsesWhatIsLeft checks that, where no team has a guarantee, low-priority units
 // start only after all others. Among the others, the lowest share comes first.
 func TestLowPriorityUsesWhatIsLeft(t *testing.T) {
-	a := &Team{Name: "a", Booked: map[string]Resources{"c": {CPUs: 8}}, Units: []*Unit{newUnit("ja", 3, 2)}}
-	guest := &Team{Name: "guest", Booked: map[string]Resources{}, Units: []*Unit{newUnit("jg", 1, 1), newUnit("jl", 1, 20)}}
+	a := &Team{Name: "a", Allocated: map[string]Resources{"c": {CPUs: 8}}, Units: []*Unit{newUnit("ja", 3, 2)}}
+	guest := &Team{Name: "guest", Allocated: map[string]Resources{}, Units: []*Unit{newUnit("jg", 1, 1), newUnit("jl", 1, 20)}}
 	guest.Units[1].LowPriority = true
 	placements := Run([]*Team{guest, a}, []*Machine{newMachine("m", 9)}, map[string]Resources{"c": {CPUs: 17, Memory: 100}}, nil)
 	if len(placements) != 5 || placements[0].Unit.Job != "jg" || placements[1].Team != "a" || placements[2].Team != "a" || countPlacements(placements, "guest") != 3 {
@@ -102,7 +102,7 @@
 		var teams []*Team
 		byName := map[string]*Team{}
 		for _, name := range []string{"a", "b", "guest"} {
-			team := &Team{Name: name, Booked: map[string]Resources{}}
+			team := &Team{Name: name, Allocated: map[string]Resources{}}
 			if name != "guest" {
 				team.Guarantee = Resources{CPUs: float64(rapid.IntRange(4, 40).Draw(t, "guarantee"))}
 			}
@@ -122,7 +122,7 @@
 				}
 				free -= cpus
 				team := teams[rapid.IntRange(0, 2).Draw(t, "team")]
-				team.Booked["c"] = team.Booked["c"].Add(Resources{CPUs: cpus, Memory: 1}, 1)
+				team.Allocated["c"] = team.Allocated["c"].Add(Resources{CPUs: cpus, Memory: 1}, 1)
 				if rapid.Bool().Draw(t, "saves") {
 					candidates = append(candidates, Preemptible{ID: len(candidates), Team: team.Name, Machine: machine, Need: Resources{CPUs: cpus, Memory: 1}, LowPriority: rapid.Bool().Draw(t, "low")})
 				}
@@ -147,7 +147,7 @@
 		for _, team := range teams {
 			total[team.Name] = team.total().CPUs
 		}
-		preempted, served := map[int]bool{}, map[string]int{}
+		preemptedTasks, servedTasks := map[int]bool{}, map[string]int{}
 		preemptionList := Preempt(teams, machines, candidates, pendingPreemptions, maxMachines)
 		if len(preemptionList) > maxMachines {
 			t.Fatalf("%d preemptions, at most %d allowed", len(preemptionList), maxMachines)
@@ -158,7 +158,7 @@
 			withinGuarantee := preemptingTeam.Guarantee.CPUs > 0 && preemptingTeam.total().CPUs+preemption.Unit.Need.CPUs <= preemptingTeam.Guarantee.CPUs
 			free := preemption.Machine.Free
 			for _, victim := range preemption.Victims {
-				if victim.Team == preemptingTeam.Name || preempted[victim.ID] || victim.Machine != preemption.Machine {
+				if victim.Team == preemptingTeam.Name || preemptedTasks[victim.ID] || victim.Machine != preemption.Machine {
 					t.Fatalf("team %s preempts task %d of team %s, which is its own task, is preempted twice, or is on another machine", preemptingTeam.Name, victim.ID, victim.Team)
 				}
 				if !withinGuarantee && !(preemption.Unit.Urgent && victim.LowPriority) {
@@ -167,7 +167,7 @@
 				if total[victim.Team] <= byName[victim.Team].Guarantee.CPUs {
 					t.Fatalf("a task of team %s is preempted although the team does not exceed its guarantee", victim.Team)
 				}
-				preempted[victim.ID] = true
+				preemptedTasks[victim.ID] = true
 				total[victim.Team] -= victim.Need.CPUs
 				free = free.Add(victim.Need, 1)
 			}
@@ -177,7 +177,7 @@
 			if !preemption.Unit.Need.Fits(free) {
 				t.Fatal("the unit does not fit after its preemption")
 			}
-			if served[preemption.Unit.Job]++; served[preemption.Unit.Job]+initialPending[preemption.Unit.Job] > preemption.Unit.Count {
+			if servedTasks[preemption.Unit.Job]++; servedTasks[preemption.Unit.Job]+initialPending[preemption.Unit.Job] > preemption.Unit.Count {
 				t.Fatalf("%s preempts for more tasks than it has", preemption.Unit.Job)
 			}
 		}
@@ -220,7 +220,7 @@
 		}
 		var teams []*Team
 		for i := 0; i < rapid.IntRange(1, 3).Draw(t, "teams"); i++ {
-			team := &Team{Name: fmt.Sprint("t", i), Booked: map[string]Resources{}, MaxCPUs: float64(rapid.IntRange(0, 30).Draw(t, "max"))}
+			team := &Team{Name: fmt.Sprint("t", i), Allocated: map[string]Resources{}, MaxCPUs: float64(rapid.IntRange(0, 30).Draw(t, "max"))}
 			for k := 0; k < rapid.IntRange(0, 3).Draw(t, "jobs"); k++ {
 				u := newUnit(fmt.Sprint("j", i, k), float64(rapid.IntRange(1, 8).Draw(t, "need")), rapid.IntRange(1, 6).Draw(t, "count"))
 				u.Spot, u.OneZone, u.Spread = rapid.Bool().Draw(t, "allowSpot"), rapid.Bool().Draw(t, "oneZone"), rapid.Bool().Draw(t, "spread")
@@ -229,9 +229,9 @@
 			teams = append(teams, team)
 		}
 		placements := Run(teams, machines, map[string]Resources{"c": {CPUs: 96, Memory: 600}}, nil)
-		used, byTeam, zones := map[string]float64{}, map[string]float64{}, map[*Unit]map[string]int{}
+		usedCPUs, byTeam, zones := map[string]float64{}, map[string]float64{}, map[*Unit]map[string]int{}
 		for _, placement := range placements {
-			used[placement.Machine.ID] += placement.Unit.Need.CPUs
+			usedCPUs[placement.Machine.ID] += placement.Unit.Need.CPUs
 			byTeam[placement.Team] += placement.Unit.Need.CPUs
 			if zones[placement.Unit] == nil {
 				zones[placement.Unit] = map[string]int{}
@@ -241,7 +241,7 @@
 				t.Fatalf("a task of %s is on a spot machine, which its job does not allow", placement.Unit.Job)
 			}
 		}
-		for id, cpus := range used {
+		for id, cpus := range usedCPUs {
 			if cpus > freeCPUs[id] {
 				t.Fatalf("machine %s runs tasks of %v CPUs and had %v free", id, cpus, freeCPUs[id])
 			}
@@ -271,7 +271,7 @@
 	a.Capacity, b.Capacity = Resources{CPUs: 8, Memory: 100}, Resources{CPUs: 8, Memory: 100}
 	big := newUnit("big", 8, 2)
 	big.Overdue = true
-	teams := []*Team{{Name: "t", Booked: map[string]Resources{}, Units: []*Unit{big, newUnit("small", 1, 20)}}}
+	teams := []*Team{{Name: "t", Allocated: map[string]Resources{}, Units: []*Unit{big, newUnit("small", 1, 20)}}}
 	reserved := ReserveForOverdue(teams, []*Machine{a, b}, 1)
 	if len(reserved) != 1 || !reserved["b"] {
 		t.Fatalf("reserved %v, want b", reserved)
@@ -290,19 +290,19 @@
 // TestStartTargetAvoidsImageFetch checks that a unit with a start target is not placed on a
 // machine that has just begun to fetch the image while another machine has it.
 func TestStartTargetAvoidsImageFetch(t *testing.T) {
-	fetching, present, fast := newMachine("coming", 2), newMachine("there", 8), newMachine("fast", 16)
-	fetching.Images, present.Images = map[string]bool{"i": false}, map[string]bool{"i": true}
-	fetching.Busy, fast.FetchGBps = true, 1
+	fetchingMachine, machineWithImage, fastMachine := newMachine("coming", 2), newMachine("there", 8), newMachine("fast", 16)
+	fetchingMachine.Images, machineWithImage.Images = map[string]bool{"i": false}, map[string]bool{"i": true}
+	fetchingMachine.Busy, fastMachine.FetchGBps = true, 1
 	unit := newUnit("j", 2, 1)
 	unit.Image, unit.ImageGB = "i", 2
-	if m := pickMachine(unit, []*Machine{fetching, present, fast}, nil); m != fetching {
+	if m := pickMachine(unit, []*Machine{fetchingMachine, machineWithImage, fastMachine}, nil); m != fetchingMachine {
 		t.Errorf("without a start target the unit was placed on %s", m.ID)
 	}
 	unit.StartWithin = 4
-	if m := pickMachine(unit, []*Machine{fetching, present, fast}, nil); m != present {
+	if m := pickMachine(unit, []*Machine{fetchingMachine, machineWithImage, fastMachine}, nil); m != machineWithImage {
 		t.Errorf("with a start target the unit was placed on %s", m.ID)
 	}
-	if m := pickMachine(unit, []*Machine{fetching, fast}, nil); m != fast {
+	if m := pickMachine(unit, []*Machine{fetchingMachine, fastMachine}, nil); m != fastMachine {
 		t.Errorf("with a start target and no machine that has the image, the unit was placed on %s", m.ID)
 	}
 }
@@ -320,22 +320,22 @@
 			machines, free[m] = append(machines, m), m.Free
 		}
 		var teams []*Team
-		requested := map[*Unit]int{}
+		requestedTasks := map[*Unit]int{}
 		for _, name := range []string{"a", "b"} {
-			team := &Team{Name: name, Booked: map[string]Resources{}, MaxCPUs: float64(rapid.IntRange(4, 80).Draw(t, "limit"))}
+			team := &Team{Name: name, Allocated: map[string]Resources{}, MaxCPUs: float64(rapid.IntRange(4, 80).Draw(t, "limit"))}
 			for i := rapid.IntRange(0, 5).Draw(t, "units"); i > 0; i-- {
 				u := newUnit(fmt.Sprint(name, i), float64(rapid.IntRange(1, 8).Draw(t, "need")), rapid.IntRange(1, 12).Draw(t, "count"))
 				u.Gang, u.OneZone, u.Overdue = rapid.Bool().Draw(t, "gang"), rapid.Bool().Draw(t, "oneZone"), rapid.Bool().Draw(t, "overdue")
-				team.Units, requested[u] = append(team.Units, u), u.Count
+				team.Units, requestedTasks[u] = append(team.Units, u), u.Count
 			}
 			teams = append(teams, team)
 		}
 		if rapid.Bool().Draw(t, "hold") {
 			ReserveForOverdue(teams, machines, 3)
 		}
-		placed, zones, byTeam := map[*Unit]int{}, map[*Unit]map[string]bool{}, map[string]float64{}
+		placedTasks, zones, byTeam := map[*Unit]int{}, map[*Unit]map[string]bool{}, map[string]float64{}
 		for _, placement := range Run(teams, machines, map[string]Resources{"c": {CPUs: 96, Memory: 600}}, nil) {
-			placed[placement.Unit]++
+			placedTasks[placement.Unit]++
 			if zones[placement.Unit] == nil {
 				zones[placement.Unit] = map[string]bool{}
 			}
@@ -343,9 +343,9 @@
 			free[placement.Machine] = free[placement.Machine].Add(placement.Unit.Need, -1)
 			byTeam[placement.Team] += placement.Unit.Need.CPUs
 		}
-		for unit, tasks := range placed {
-			if unit.Gang && tasks != requested[unit] {
-				t.Fatalf("%d of %d tasks of a gang are placed", tasks, requested[unit])
+		for unit, tasks := range placedTasks {
+			if unit.Gang && tasks != requestedTasks[unit] {
+				t.Fatalf("%d of %d tasks of a gang are placed", tasks, requestedTasks[unit])
 			}
 			if unit.OneZone && len(zones[unit]) > 1 {
 				t.Fatalf("a job that must be in one zone has tasks in zones %v", zones[unit])
@@ -365,9 +365,9 @@
 }
 
 // TestMachinesAreReservedForOneGangAtATime checks that, of two overdue gangs that fit nowhere as a
-// whole, only one has machines reserved. If both had, each could hold half of the machines that one
-// of them needs, and neither would start. The gang with the reservation must fit once the reserved
-// machines are free.
+// whole, only one has machines reserved. If machines were reserved for both gangs, each gang could
+// block half of the machines that the other needs, and neither gang would start. The gang with the
+// reservation must fit once the reserved machines are free.
 func TestMachinesAreReservedForOneGangAtATime(t *testing.T) {
 	var machines []*Machine
 	for i := 0; i < 4; i++ {
@@ -379,20 +379,20 @@
 	for _, u := range []*Unit{a, b} {
 		u.Gang, u.Overdue = true, true
 	}
-	team := &Team{Name: "t", Booked: map[string]Resources{}, Units: []*Unit{a, b}}
-	reserved := ReserveForOverdue([]*Team{team}, machines, 2)
-	if len(reserved) != 2 || !reserved["3"] || !reserved["2"] {
-		t.Errorf("reserved %v, want the two machines with the most free CPUs", reserved)
+	team := &Team{Name: "t", Allocated: map[string]Resources{}, Units: []*Unit{a, b}}
+	reservedMachines := ReserveForOverdue([]*Team{team}, machines, 2)
+	if len(reservedMachines) != 2 || !reservedMachines["3"] || !reservedMachines["2"] {
+		t.Errorf("reserved %v, want the two machines with the most free CPUs", reservedMachines)
 	}
 	for _, m := range machines {
-		if reserved[m.ID] && m.reservedFor != "a" {
+		if reservedMachines[m.ID] && m.reservedFor != "a" {
 			t.Errorf("machine %s is reserved for %s", m.ID, m.reservedFor)
 		}
 	}
 	small := newUnit("c", 1, 100)
-	Run([]*Team{{Name: "o", Booked: map[string]Resources{}, Units: []*Unit{small}}}, machines, nil, nil)
+	Run([]*Team{{Name: "o", Allocated: map[string]Resources{}, Units: []*Unit{small}}}, machines, nil, nil)
 	for _, m := range machines {
-		if reserved[m.ID] {
+		if reservedMachines[m.ID] {
 			m.Free.CPUs = 8 // the machine's previous tasks have ended
 		}
 	}
@@ -408,14 +408,14 @@
 func TestPreemptFreesResourcesForWholeGangs(t *testing.T) {
 	preemptingInputs := 0
 	rapid.Check(t, func(t *rapid.T) {
-		gangTeam := &Team{Name: "owner", Booked: map[string]Resources{}, Guarantee: Resources{CPUs: float64(rapid.IntRange(8, 64).Draw(t, "guarantee"))}}
+		gangTeam := &Team{Name: "owner", Allocated: map[string]Resources{}, Guarantee: Resources{CPUs: float64(rapid.IntRange(8, 64).Draw(t, "guarantee"))}}
 		borrowers := []*Team{
-			{Name: "guest", Booked: map[string]Resources{}},
-			{Name: "other", Booked: map[string]Resources{}, Guarantee: Resources{CPUs: float64(rapid.IntRange(8, 40).Draw(t, "other's guarantee"))}},
+			{Name: "guest", Allocated: map[string]Resources{}},
+			{Name: "other", Allocated: map[string]Resources{}, Guarantee: Resources{CPUs: float64(rapid.IntRange(8, 40).Draw(t, "other's guarantee"))}},
 		}
 		var machines []*Machine
 		var candidates []Preemptible
-		booked := map[string]float64{}
+		allocatedCPUs := map[string]float64{}
 		for i := rapid.IntRange(2, 8).Draw(t, "machines"); i > 0; i-- {
 			machine := newMachine(fmt.Sprint("m", i), float64(rapid.IntRange(0, 6).Draw(t, "free")))
 			machine.Capacity, machine.Zone = Resources{CPUs: 16, Memory: 100}, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone")
@@ -424,8 +424,8 @@
 				cpus := float64(rapid.IntRange(1, int(left)).Draw(t, "cpus"))
 				left -= cpus
 				borrower := borrowers[rapid.IntRange(0, 1).Draw(t, "borrower")]
-				borrower.Booked["c"] = borrower.Booked["c"].Add(Resources{CPUs: cpus}, 1)
-				booked[borrower.Name] += cpus
+				borrower.Allocated["c"] = borrower.Allocated["c"].Add(Resources{CPUs: cpus}, 1)
+				allocatedCPUs[borrower.Name] += cpus
 				if rapid.IntRange(0, 3).Draw(t, "saves") > 0 {
 					candidates = append(candidates, Preemptible{ID: len(candidates), Team: borrower.Name, Machine: machine, Need: Resources{CPUs: cpus}})
 				}
@@ -443,17 +443,17 @@
 		if gang.Need.CPUs*float64(gang.Count) > gangTeam.Guarantee.CPUs+epsilon {
 			t.Fatal("a gang beyond its team's guarantee preempts tasks")
 		}
-		fits, zones, preempted := 0, map[string]bool{}, map[int]bool{}
+		fits, zones, preemptedTasks := 0, map[string]bool{}, map[int]bool{}
 		largest := map[string]float64{} // CPUs of the largest victim, by team
 		for _, preemption := range preemptions {
 			free := preemption.Machine.Free
 			for _, victim := range preemption.Victims {
-				if victim.Machine != preemption.Machine || preempted[victim.ID] {
+				if victim.Machine != preemption.Machine || preemptedTasks[victim.ID] {
 					t.Fatalf("task %d is not on machine %s, or is preempted twice", victim.ID, preemption.Machine.ID)
 				}
-				preempted[victim.ID] = true
+				preemptedTasks[victim.ID] = true
 				free = free.Add(victim.Need, 1)
-				booked[victim.Team] -= victim.Need.CPUs
+				allocatedCPUs[victim.Team] -= victim.Need.CPUs
 				largest[victim.Team] = max(largest[victim.Team], victim.Need.CPUs)
 			}
 			fits += gang.Need.CountIn(free)
@@ -466,11 +466,11 @@
 			t.Fatalf("the gang must be in one zone and preempts in zones %v", zones)
 		}
 		for _, borrower := range borrowers {
-			// As with preemption by single tasks, only the last victim of a team may take the team
-			// below its guarantee. The check allows for the largest victim, since any of them may
+			// As in preemption for single tasks, only the last victim of a team may take the team
+			// below its guarantee. The check allows for the largest victim, since any victim may
 			// have been the last.
-			if last := largest[borrower.Name]; last > 0 && booked[borrower.Name]+last <= borrower.Guarantee.CPUs {
-				t.Fatalf("team %s is left with %v CPUs, its guarantee is %v", borrower.Name, booked[borrower.Name], borrower.Guarantee.CPUs)
+			if last := largest[borrower.Name]; last > 0 && allocatedCPUs[borrower.Name]+last <= borrower.Guarantee.CPUs {
+				t.Fatalf("team %s is left with %v CPUs, its guarantee is %v", borrower.Name, allocatedCPUs[borrower.Name], borrower.Guarantee.CPUs)
 			}
 		}
 	})
--- a/internal/allocation/placement.go
+++ b/internal/allocation/placement.go
@@ -15,11 +15,11 @@
 
 // placeUnit allocates resources for one task of a unit, or for all tasks of a gang, and
 // returns the machines. If a gang does not fit as a whole, nothing is allocated.
-func placeUnit(u *Unit, machines []*Machine, largest map[string]Resources) []*Machine {
-	if u.Gang {
-		return placeGang(u, machines, largest)
+func placeUnit(unit *Unit, machines []*Machine, largest map[string]Resources) []*Machine {
+	if unit.Gang {
+		return placeGang(unit, machines, largest)
 	}
-	if machine := u.allocateTask(machines, largest); machine != nil {
+	if machine := unit.allocateTask(machines, largest); machine != nil {
 		return []*Machine{machine}
 	}
 	return nil
@@ -42,50 +42,50 @@
 }
 
 // releaseTask reverts allocateTask.
-func (u *Unit) releaseTask(m *Machine) {
-	m.Free = m.Free.Add(u.Need, 1)
+func (u *Unit) releaseTask(machine *Machine) {
+	machine.Free = machine.Free.Add(u.Need, 1)
 	if u.PlacedByZone != nil {
-		u.PlacedByZone[m.Zone]--
+		u.PlacedByZone[machine.Zone]--
 	}
 }
 
 // placeGang allocates resources for all tasks of a gang, or for none.
-func placeGang(u *Unit, machines []*Machine, largest map[string]Resources) []*Machine {
-	var chosen []*Machine
-	u.tryZones(machines, func() bool {
-		u.lastMachine = nil
-		for len(chosen) < u.Count {
-			machine := u.allocateTask(machines, largest)
+func placeGang(unit *Unit, machines []*Machine, largest map[string]Resources) []*Machine {
+	var chosenMachines []*Machine
+	unit.tryZones(machines, func() bool {
+		unit.lastMachine = nil
+		for len(chosenMachines) < unit.Count {
+			machine := unit.allocateTask(machines, largest)
 			if machine == nil {
 				break
 			}
-			chosen = append(chosen, machine)
+			chosenMachines = append(chosenMachines, machine)
 		}
-		if len(chosen) == u.Count {
+		if len(chosenMachines) == unit.Count {
 			return true
 		}
-		for _, machine := range chosen {
-			u.releaseTask(machine)
+		for _, machine := range chosenMachines {
+			unit.releaseTask(machine)
 		}
-		chosen = nil
+		chosenMachines = nil
 		return false
 	})
-	u.lastMachine = nil
-	return chosen
+	unit.lastMachine = nil
+	return chosenMachines
 }
 
 // tryZones calls try with the unit's Zone set to each zone in turn until try returns true. If
 // the unit's zone is already fixed, or its tasks need not share a zone, it calls try once with
 // Zone unchanged. Zone is restored at the end.
 func (u *Unit) tryZones(machines []*Machine, try func() bool) {
-	original := u.Zone
-	defer func() { u.Zone = original }()
+	originalZone := u.Zone
+	defer func() { u.Zone = originalZone }()
 	zones := map[string]bool{}
 	for _, machine := range machines {
 		zones[machine.Zone] = true
 	}
-	if !u.OneZone || original != "" {
-		zones = map[string]bool{original: true}
+	if !u.OneZone || originalZone != "" {
+		zones = map[string]bool{originalZone: true}
 	}
 	for _, u.Zone = range slices.Sorted(maps.Keys(zones)) {
 		if try() {
@@ -114,18 +114,18 @@
 // pickMachine returns the machine of the highest rank on which a task of the unit fits, or nil.
 // Among machines of equal rank it returns the machine with the fewest free CPUs, so that the other
 // machines become idle and can be returned to the cloud, and among those the first in the list.
-func pickMachine(u *Unit, machines []*Machine, largest map[string]Resources) *Machine {
+func pickMachine(unit *Unit, machines []*Machine, largest map[string]Resources) *Machine {
 	var best *Machine
 	bestRank := -1
 	for _, machine := range machines {
-		if !u.Need.Fits(machine.Free) || !u.allows(machine) {
+		if !unit.Need.Fits(machine.Free) || !unit.allows(machine) {
 			continue
 		}
-		if rank := u.rankMachine(machine, largest); rank > bestRank || (rank == bestRank && machine.Free.CPUs < best.Free.CPUs-epsilon) {
+		if rank := unit.rankMachine(machine, largest); rank > bestRank || (rank == bestRank && machine.Free.CPUs < best.Free.CPUs-epsilon) {
 			best, bestRank = machine, rank
 		}
 	}
-	u.lastMachine, u.lastRank = best, bestRank
+	unit.lastMachine, unit.lastRank = best, bestRank
 	return best
 }
 
@@ -139,25 +139,25 @@
 //   - The image is present or being fetched. A new fetch would occupy the task's resources for
 //     as long as a short task runs.
 //   - The machine is busy.
-func (u *Unit) rankMachine(m *Machine, largest map[string]Resources) int {
+func (u *Unit) rankMachine(machine *Machine, largest map[string]Resources) int {
 	rank := 0
-	if u.StartWithin > 0 && (u.Image == "" || m.Images[u.Image] || u.ImageGB <= maxFetchFraction*u.StartWithin*m.FetchGBps) {
+	if u.StartWithin > 0 && (u.Image == "" || machine.Images[u.Image] || u.ImageGB <= maxFetchFraction*u.StartWithin*machine.FetchGBps) {
 		rank += 32
 	}
-	largestUnit := largest[m.Class]
-	if u.PreferOnDemand && !m.Spot {
+	largestUnit := largest[machine.Class]
+	if u.PreferOnDemand && !machine.Spot {
 		rank += 16
 	}
 	if largestUnit.CPUs < largeUnitFactor*u.Need.CPUs {
 		rank += 8
 	}
-	if largestUnit == u.Need || largestUnit.CountIn(m.Free) == largestUnit.CountIn(m.Free.Add(u.Need, -1)) {
+	if largestUnit == u.Need || largestUnit.CountIn(machine.Free) == largestUnit.CountIn(machine.Free.Add(u.Need, -1)) {
 		rank += 4
 	}
-	if u.Image == "" || m.hasOrFetches(u.Image) {
+	if u.Image == "" || machine.hasOrFetches(u.Image) {
 		rank += 2
 	}
-	if m.Busy {
+	if machine.Busy {
 		rank++
 	}
 	return rank
--- a/internal/allocation/preemption.go
+++ b/internal/allocation/preemption.go
@@ -16,8 +16,8 @@
 	LowPriority bool // may be preempted by urgent units of other teams
 }
 
-// Preemption lists the victims on one machine: the tasks to stop so that one task of Unit fits there, or
-// some tasks of it if Unit is a gang.
+// Preemption lists the victims on one machine: the tasks to stop so that one task of Unit fits on the
+// machine or, if Unit is a gang, some of the gang's tasks.
 type Preemption struct {
 	Unit    *Unit
 	Machine *Machine
@@ -80,124 +80,124 @@
 	return p
 }
 
-// mayPreempt reports whether a task may be preempted. taken is the resources of the victims that
+// mayPreempt reports whether a task may be preempted. victimResources is the resources of the victims that
 // are already chosen from the same team.
-type mayPreempt func(task Preemptible, taken Resources) bool
+type mayPreempt func(task Preemptible, victimResources Resources) bool
 
 // victimFilter returns the condition under which a unit of the given team may preempt a task: the
 // task belongs to another team, and that team still exceeds its guarantee. A unit that is not
 // within its own team's guarantee may preempt only low-priority tasks.
 func (p *preemptor) victimFilter(team string, withinGuarantee bool) mayPreempt {
-	return func(task Preemptible, taken Resources) bool {
-		guarantee, remaining := p.guarantees[task.Team], p.teamTotals[task.Team].Add(taken, -1)
+	return func(task Preemptible, victimResources Resources) bool {
+		guarantee, remaining := p.guarantees[task.Team], p.teamTotals[task.Team].Add(victimResources, -1)
 		exceeds := remaining.CPUs > guarantee.CPUs+epsilon || remaining.GPUs > guarantee.GPUs+epsilon
 		return task.Team != team && exceeds && (withinGuarantee || task.LowPriority)
 	}
 }
 
 // add records a preemption.
-func (p *preemptor) add(chosen Preemption) {
-	for _, victim := range chosen.Victims {
+func (p *preemptor) add(preemption Preemption) {
+	for _, victim := range preemption.Victims {
 		p.teamTotals[victim.Team] = p.teamTotals[victim.Team].Add(victim.Need, -1)
 	}
-	delete(p.candidates, chosen.Machine) // only one preemption at a time per machine
-	p.results = append(p.results, chosen)
+	delete(p.candidates, preemption.Machine) // only one preemption at a time per machine
+	p.results = append(p.results, preemption)
 }
 
 // preemptForTasks chooses victims for the tasks of a unit that is not a gang, one task at a time. It
 // returns the resources that the team uses, including those of the tasks that it has processed.
-func (p *preemptor) preemptForTasks(t *Team, u *Unit, total Resources) Resources {
-	for n := u.Count; n > 0 && len(p.results) < p.maxMachines; n-- {
-		withinGuarantee := t.withinGuarantee(total, u.Need)
-		if !(withinGuarantee || u.Urgent) || !t.underLimit(total, u.Need) {
+func (p *preemptor) preemptForTasks(team *Team, unit *Unit, teamTotal Resources) Resources {
+	for n := unit.Count; n > 0 && len(p.results) < p.maxMachines; n-- {
+		withinGuarantee := team.withinGuarantee(teamTotal, unit.Need)
+		if !(withinGuarantee || unit.Urgent) || !team.underLimit(teamTotal, unit.Need) {
 			break
 		}
-		total = total.Add(u.Need, 1)
-		if p.pendingPreemptions[u.Job] > 0 {
-			p.pendingPreemptions[u.Job]--
+		teamTotal = teamTotal.Add(unit.Need, 1)
+		if p.pendingPreemptions[unit.Job] > 0 {
+			p.pendingPreemptions[unit.Job]--
 			continue
 		}
-		chosen, ok := choosePreemption(u, p.candidateMachines, p.candidates, p.victimFilter(t.Name, withinGuarantee))
+		preemption, ok := choosePreemption(unit, p.candidateMachines, p.candidates, p.victimFilter(team.Name, withinGuarantee))
 		if !ok {
 			break
 		}
-		p.add(chosen)
+		p.add(preemption)
 	}
-	return total
+	return teamTotal
 }
 
 // preemptForGang chooses victims for a whole gang, or none. It returns the resources that the team uses,
 // including those of the gang if the gang may preempt.
-func (p *preemptor) preemptForGang(t *Team, u *Unit, total Resources) Resources {
-	withinGuarantee := t.withinGuarantee(total, u.startNeed())
-	if !(withinGuarantee || u.Urgent) || u.Count <= 0 || !t.underLimit(total, u.startNeed()) {
-		return total
+func (p *preemptor) preemptForGang(team *Team, unit *Unit, teamTotal Resources) Resources {
+	withinGuarantee := team.withinGuarantee(teamTotal, unit.startNeed())
+	if !(withinGuarantee || unit.Urgent) || unit.Count <= 0 || !team.underLimit(teamTotal, unit.startNeed()) {
+		return teamTotal
 	}
-	total = total.Add(u.startNeed(), 1)
+	teamTotal = teamTotal.Add(unit.startNeed(), 1)
 	otherTeams := len(p.candidateTeams)
-	if p.candidateTeams[t.Name] {
+	if p.candidateTeams[team.Name] {
 		otherTeams--
 	}
-	if p.pendingPreemptions[u.Job] > 0 || otherTeams == 0 {
-		return total
+	if p.pendingPreemptions[unit.Job] > 0 || otherTeams == 0 {
+		return teamTotal
 	}
-	preemptions := chooseGangPreemption(u, p.machines, p.candidates, p.victimFilter(t.Name, withinGuarantee))
+	preemptions := chooseGangPreemption(unit, p.machines, p.candidates, p.victimFilter(team.Name, withinGuarantee))
 	if len(p.results) > 0 && len(p.results)+len(preemptions) > p.maxMachines {
-		return total // the first gang is served however many machines it needs
+		return teamTotal // the first gang is served however many machines it needs
 	}
-	for _, chosen := range preemptions {
-		chosen.Machine.Reserve(u.Job) // preemptions for other units must not use its resources
-		p.add(chosen)
+	for _, preemption := range preemptions {
+		preemption.Machine.Reserve(unit.Job) // preemptions for other units must not use its resources
+		p.add(preemption)
 	}
-	return total
+	return teamTotal
 }
 
 // choosePreemption chooses the machine on which a task of the unit fits after preempting the
 // fewest CPUs. It reports whether there is such a machine.
-func choosePreemption(u *Unit, machines []*Machine, candidates map[*Machine][]Preemptible, may mayPreempt) (Preemption, bool) {
-	best, leastCost := Preemption{}, math.Inf(1)
+func choosePreemption(unit *Unit, machines []*Machine, candidates map[*Machine][]Preemptible, mayPreemptTask mayPreempt) (Preemption, bool) {
+	bestPreemption, leastCost := Preemption{}, math.Inf(1)
 	for _, machine := range machines {
-		if len(candidates[machine]) == 0 || !u.Need.Fits(machine.Capacity) || !u.allows(machine) {
+		if len(candidates[machine]) == 0 || !unit.Need.Fits(machine.Capacity) || !unit.allows(machine) {
 			continue
 		}
 		free, cost := machine.Free, 0.0
 		var victims []Preemptible
-		taken := map[string]Resources{}
+		victimResources := map[string]Resources{}
 		for _, task := range candidates[machine] {
-			if u.Need.Fits(free) {
+			if unit.Need.Fits(free) {
 				break
 			}
-			if may(task, taken[task.Team]) {
-				taken[task.Team] = taken[task.Team].Add(task.Need, 1)
+			if mayPreemptTask(task, victimResources[task.Team]) {
+				victimResources[task.Team] = victimResources[task.Team].Add(task.Need, 1)
 				free, cost = free.Add(task.Need, 1), cost+task.Need.CPUs
 				victims = append(victims, task)
 			}
 		}
-		if len(victims) > 0 && u.Need.Fits(free) && cost < leastCost-epsilon {
-			best, leastCost = Preemption{u, machine, victims}, cost
+		if len(victims) > 0 && unit.Need.Fits(free) && cost < leastCost-epsilon {
+			bestPreemption, leastCost = Preemption{unit, machine, victims}, cost
 		}
 	}
-	return best, best.Machine != nil
+	return bestPreemption, bestPreemption.Machine != nil
 }
 
 // gangMachine is a machine that may run tasks of a gang, with the victims chosen on it so far.
 type gangMachine struct {
-	machine      *Machine
-	free         Resources     // free once the victims have ended
-	remaining    []Preemptible // candidates that are not victims
-	victims      []Preemptible
-	taskCapacity int // number of the gang's tasks that fit in free
+	machine             *Machine
+	free                Resources     // free once the victims have ended
+	remainingCandidates []Preemptible // candidates that are not victims
+	victims             []Preemptible
+	taskCapacity        int // number of the gang's tasks that fit in free
 }
 
 // nextVictims returns the tasks to preempt so that at least one more task of the gang fits, and
-// their cost in CPUs. taken is the resources of the victims already chosen, by team.
-func (g *gangMachine) nextVictims(need Resources, taken map[string]Resources, may mayPreempt) (victims []Preemptible, cost float64, ok bool) {
-	free, takenHere := g.free, map[string]Resources{}
-	for _, task := range g.remaining {
-		if !may(task, taken[task.Team].Add(takenHere[task.Team], 1)) {
+// their cost in CPUs. victimResources is the resources of the victims already chosen, by team.
+func (g *gangMachine) nextVictims(need Resources, victimResources map[string]Resources, mayPreemptTask mayPreempt) (victims []Preemptible, cost float64, ok bool) {
+	free, resourcesHere := g.free, map[string]Resources{}
+	for _, task := range g.remainingCandidates {
+		if !mayPreemptTask(task, victimResources[task.Team].Add(resourcesHere[task.Team], 1)) {
 			continue
 		}
-		takenHere[task.Team] = takenHere[task.Team].Add(task.Need, 1)
+		resourcesHere[task.Team] = resourcesHere[task.Team].Add(task.Need, 1)
 		victims = append(victims, task)
 		cost += task.Need.CPUs
 		if free = free.Add(task.Need, 1); need.CountIn(free) > g.taskCapacity {
@@ -212,74 +212,74 @@
 	for _, task := range tasks {
 		g.free = g.free.Add(task.Need, 1)
 		g.victims = append(g.victims, task)
-		g.remaining = slices.DeleteFunc(slices.Clone(g.remaining), func(other Preemptible) bool { return other.ID == task.ID })
+		g.remainingCandidates = slices.DeleteFunc(slices.Clone(g.remainingCandidates), func(other Preemptible) bool { return other.ID == task.ID })
 	}
 	g.taskCapacity = need.CountIn(g.free)
 }
 
 // chooseGangPreemption chooses the machines on which a whole gang fits after preempting the
-// fewest CPUs. All are in one zone if the gang must be in one. It returns nil if there are no
-// such machines, or if the gang needs no preemption.
-func chooseGangPreemption(u *Unit, machines []*Machine, candidates map[*Machine][]Preemptible, may mayPreempt) []Preemption {
-	var best []Preemption
+// fewest CPUs. All these machines are in one zone if the gang must run in one zone. It returns
+// nil if there are no such machines, or if the gang needs no preemption.
+func chooseGangPreemption(unit *Unit, machines []*Machine, candidates map[*Machine][]Preemptible, mayPreemptTask mayPreempt) []Preemption {
+	var bestPreemptions []Preemption
 	leastCost := math.Inf(1)
-	u.tryZones(machines, func() bool {
-		if preemptions, cost := chooseGangPreemptionInZone(u, machines, candidates, may); preemptions != nil && cost < leastCost-epsilon {
-			best, leastCost = preemptions, cost
+	unit.tryZones(machines, func() bool {
+		if preemptions, cost := chooseGangPreemptionInZone(unit, machines, candidates, mayPreemptTask); preemptions != nil && cost < leastCost-epsilon {
+			bestPreemptions, leastCost = preemptions, cost
 		}
 		return false
 	})
-	return best
+	return bestPreemptions
 }
 
 // chooseGangPreemptionInZone chooses the machines as chooseGangPreemption does, but only for the unit's
 // current Zone. It also returns the cost in CPUs.
-func chooseGangPreemptionInZone(u *Unit, machines []*Machine, candidates map[*Machine][]Preemptible, may mayPreempt) ([]Preemption, float64) {
-	var usable []*gangMachine
+func chooseGangPreemptionInZone(unit *Unit, machines []*Machine, candidates map[*Machine][]Preemptible, mayPreemptTask mayPreempt) ([]Preemption, float64) {
+	var usableMachines []*gangMachine
 	taskCapacity := 0
-	for _, m := range machines {
-		if u.Need.Fits(m.Capacity) && u.allows(m) {
-			option := &gangMachine{machine: m, free: m.Free, remaining: candidates[m], taskCapacity: u.Need.CountIn(m.Free)}
+	for _, machine := range machines {
+		if unit.Need.Fits(machine.Capacity) && unit.allows(machine) {
+			option := &gangMachine{machine: machine, free: machine.Free, remainingCandidates: candidates[machine], taskCapacity: unit.Need.CountIn(machine.Free)}
 			taskCapacity += option.taskCapacity
-			usable = append(usable, option)
+			usableMachines = append(usableMachines, option)
 		}
 	}
-	if u.Spread || taskCapacity >= u.Count {
+	if unit.Spread || taskCapacity >= unit.Count {
 		return nil, 0 // no preemption for gangs spread over zones; a gang that fits is placed by the next run
 	}
-	taken, totalCost := map[string]Resources{}, 0.0
-	for taskCapacity < u.Count {
-		cheapest, victims, cost := cheapestGangMachine(usable, u.Need, taken, may)
-		if cheapest == nil {
+	victimResources, totalCost := map[string]Resources{}, 0.0
+	for taskCapacity < unit.Count {
+		cheapestMachine, victims, cost := cheapestGangMachine(usableMachines, unit.Need, victimResources, mayPreemptTask)
+		if cheapestMachine == nil {
 			return nil, 0
 		}
-		taskCapacity -= cheapest.taskCapacity
-		cheapest.addVictims(u.Need, victims)
-		taskCapacity += cheapest.taskCapacity
+		taskCapacity -= cheapestMachine.taskCapacity
+		cheapestMachine.addVictims(unit.Need, victims)
+		taskCapacity += cheapestMachine.taskCapacity
 		totalCost += cost
 		for _, victim := range victims {
-			taken[victim.Team] = taken[victim.Team].Add(victim.Need, 1)
+			victimResources[victim.Team] = victimResources[victim.Team].Add(victim.Need, 1)
 		}
 	}
-	return fewestMachines(u, usable), totalCost
+	return fewestMachines(unit, usableMachines), totalCost
 }
 
 // cheapestGangMachine returns the machine on which one more task of the gang fits after
 // preempting the fewest CPUs, with the victims and their cost in CPUs.
-func cheapestGangMachine(machines []*gangMachine, need Resources, taken map[string]Resources, may mayPreempt) (best *gangMachine, victims []Preemptible, cost float64) {
+func cheapestGangMachine(machines []*gangMachine, need Resources, victimResources map[string]Resources, mayPreemptTask mayPreempt) (bestMachine *gangMachine, victims []Preemptible, cost float64) {
 	cost = math.Inf(1)
 	for _, option := range machines {
-		optionVictims, optionCost, ok := option.nextVictims(need, taken, may)
+		optionVictims, optionCost, ok := option.nextVictims(need, victimResources, mayPreemptTask)
 		if ok && optionCost < cost-epsilon {
-			best, victims, cost = option, optionVictims, optionCost
+			bestMachine, victims, cost = option, optionVictims, optionCost
 		}
 	}
-	return best, victims, cost
+	return bestMachine, victims, cost
 }
 
 // fewestMachines returns preemptions on as few machines as the whole gang needs. Machines with
 // victims come first, then those that fit the most tasks.
-func fewestMachines(u *Unit, machines []*gangMachine) []Preemption {
+func fewestMachines(unit *Unit, machines []*gangMachine) []Preemption {
 	sort.SliceStable(machines, func(a, b int) bool {
 		left, right := machines[a], machines[b]
 		if (len(left.victims) > 0) != (len(right.victims) > 0) {
@@ -288,10 +288,10 @@
 		return left.taskCapacity > right.taskCapacity
 	})
 	var preemptions []Preemption
-	for tasks := 0; tasks < u.Count; {
-		next := machines[len(preemptions)]
-		preemptions = append(preemptions, Preemption{u, next.machine, next.victims})
-		tasks += next.taskCapacity
+	for placedTasks := 0; placedTasks < unit.Count; {
+		nextMachine := machines[len(preemptions)]
+		preemptions = append(preemptions, Preemption{unit, nextMachine.machine, nextMachine.victims})
+		placedTasks += nextMachine.taskCapacity
 	}
 	return preemptions
 }
--- a/internal/allocation/reservation.go
+++ b/internal/allocation/reservation.go
@@ -11,83 +11,83 @@
 // reserved, no further unit gets a reservation. ReserveForOverdue returns the IDs of the reserved
 // machines.
 func ReserveForOverdue(teams []*Team, machines []*Machine, maxMachines int) map[string]bool {
-	reserved, gangReserved := map[string]bool{}, false
+	reservedMachines, gangReserved := map[string]bool{}, false
 	for _, team := range teams {
 		total := team.total()
 		for _, unit := range team.Units {
 			switch {
-			case !unit.Overdue || len(reserved) >= maxMachines || !team.underLimit(total, unit.startNeed()):
+			case !unit.Overdue || len(reservedMachines) >= maxMachines || !team.underLimit(total, unit.startNeed()):
 			case !unit.Gang:
-				reserveForTask(unit, machines, reserved)
+				reserveForTask(unit, machines, reservedMachines)
 			case !gangReserved:
-				gangReserved = reserveForGang(unit, machines, reserved)
+				gangReserved = reserveForGang(unit, machines, reservedMachines)
 			}
 		}
 	}
-	return reserved
+	return reservedMachines
 }
 
 // reserveForTask reserves the machine that comes closest to fitting a task of the unit. It
 // reserves nothing if a task fits on a machine now.
-func reserveForTask(u *Unit, machines []*Machine, reserved map[string]bool) {
-	var best *Machine
+func reserveForTask(unit *Unit, machines []*Machine, reservedMachines map[string]bool) {
+	var bestMachine *Machine
 	bestFraction := 0.0
 	for _, machine := range machines {
-		if reserved[machine.ID] || !u.Need.Fits(machine.Capacity) || !u.allows(machine) {
+		if reservedMachines[machine.ID] || !unit.Need.Fits(machine.Capacity) || !unit.allows(machine) {
 			continue
 		}
-		if u.Need.Fits(machine.Free) {
+		if unit.Need.Fits(machine.Free) {
 			return
 		}
-		if fraction := u.Need.fractionIn(machine.Free); best == nil || fraction > bestFraction {
-			best, bestFraction = machine, fraction
+		if fraction := unit.Need.fractionIn(machine.Free); bestMachine == nil || fraction > bestFraction {
+			bestMachine, bestFraction = machine, fraction
 		}
 	}
-	if best != nil {
-		best.reservedFor, reserved[best.ID] = u.Job, true
+	if bestMachine != nil {
+		bestMachine.reservedFor, reservedMachines[bestMachine.ID] = unit.Job, true
 	}
 }
 
 // reserveForGang reserves the machines that can hold the whole gang once their current tasks
 // have ended, and chooses those with the smallest part in use. It reserves nothing if the
 // gang fits now. It reports whether it reserved machines. Only one gang at a time has
-// reservations: two gangs could each reserve half of what one of them needs.
-func reserveForGang(u *Unit, machines []*Machine, reserved map[string]bool) bool {
-	var best []*Machine
-	leastUsed := math.Inf(1)
-	u.tryZones(machines, func() bool {
-		var usable []*Machine
+// reservations: two gangs could each reserve half of the machines that either gang needs.
+func reserveForGang(unit *Unit, machines []*Machine, reservedMachines map[string]bool) bool {
+	var bestMachines []*Machine
+	leastUsedFraction := math.Inf(1)
+	unit.tryZones(machines, func() bool {
+		var usableMachines []*Machine
 		fitsNow := 0
 		for _, machine := range machines {
-			if !reserved[machine.ID] && u.Need.Fits(machine.Capacity) && u.allows(machine) {
-				usable = append(usable, machine)
-				fitsNow += u.Need.CountIn(machine.Free)
+			if !reservedMachines[machine.ID] && unit.Need.Fits(machine.Capacity) && unit.allows(machine) {
+				usableMachines = append(usableMachines, machine)
+				fitsNow += unit.Need.CountIn(machine.Free)
 			}
 		}
-		if fitsNow >= u.Count {
-			best = nil
+		if fitsNow >= unit.Count {
+			bestMachines = nil
 			return true
 		}
 		// The machines with the largest free fraction come first, because the tasks that use the
 		// rest have to end before the gang can start.
-		sort.SliceStable(usable, func(a, b int) bool {
-			return usable[a].Capacity.fractionIn(usable[a].Free) > usable[b].Capacity.fractionIn(usable[b].Free)
+		sort.SliceStable(usableMachines, func(a, b int) bool {
+			return usableMachines[a].Capacity.fractionIn(usableMachines[a].Free) > usableMachines[b].Capacity.fractionIn(usableMachines[b].Free)
 		})
-		capacity, used := 0, 0.0
-		for i, machine := range usable {
-			capacity += u.Need.CountIn(machine.Capacity)
-			used += 1 - machine.Capacity.fractionIn(machine.Free)
-			if capacity >= u.Count {
-				if used < leastUsed {
-					best, leastUsed = usable[:i+1], used
+		capacity, usedFraction := 0, 0.0
+		for i, machine := range usableMachines {
+			capacity += unit.Need.CountIn(machine.Capacity)
+			usedFraction += 1 - machine.Capacity.fractionIn(machine.Free)
+			if capacity >= unit.Count {
+				if usedFraction < leastUsedFraction {
+					bestMachines, leastUsedFraction = usableMachines[:i+1], usedFraction
 				}
 				break
 			}
 		}
 		return false
 	})
-	for _, machine := range best {
-		machine.reservedFor, reserved[machine.ID] = u.Job, true
+	for _, machine := range bestMachines {
+		machine.reservedFor, reservedMachines[machine.ID] = unit.Job, true
 	}
-	return len(best) > 0
+	return len(bestMachines) > 0
 }
--- a/internal/authority/renewal.go
+++ b/internal/authority/renewal.go
@@ -112,9 +112,9 @@
 // requires a fence first: after the fence, the worker refuses these orders.
 func (Rules) DecideRenewal(input RenewalInput) Decision {
 	decision := Decision{Renew: true, Reason: NothingCancelled, Deadline: input.AnswerDeadline}
-	for _, a := range input.MustStop {
+	for _, attempt := range input.MustStop {
 		decision.Reason = AllStopped
-		decision.Stops = append(decision.Stops, wire.Command{Verb: wire.VerbStop, Task: a.Task, Attempt: a.Number})
+		decision.Stops = append(decision.Stops, wire.Command{Verb: wire.VerbStop, Task: attempt.Task, Attempt: attempt.Number})
 	}
 	for _, start := range input.MayStart {
 		if deadline := start.ConfirmedAfter + input.MaxStaleness; deadline < decision.Deadline {
@@ -166,13 +166,13 @@
 	if len(input.MustStop) == 0 {
 		return nil
 	}
-	stopped := make(map[Attempt]bool, len(commands))
-	for _, c := range commands {
-		stopped[Attempt{c.Task, c.Attempt}] = c.Verb == wire.VerbStop
+	stoppedAttempts := make(map[Attempt]bool, len(commands))
+	for _, command := range commands {
+		stoppedAttempts[Attempt{command.Task, command.Attempt}] = command.Verb == wire.VerbStop
 	}
-	for _, a := range input.MustStop {
-		if !stopped[a] {
-			return &UnstoppedError{a}
+	for _, attempt := range input.MustStop {
+		if !stoppedAttempts[attempt] {
+			return &UnstoppedError{attempt}
 		}
 	}
 	return nil
--- a/internal/authority/renewal_test.go
+++ b/internal/authority/renewal_test.go
@@ -17,7 +17,7 @@
 // limit the renewal.
 func TestRenewalDecisions(t *testing.T) {
 	task := Attempt{"job-1/0", 4}
-	other := Attempt{"job-2/0", 9}
+	otherAttempt := Attempt{"job-2/0", 9}
 	for _, test := range []struct {
 		name     string
 		input    RenewalInput
@@ -30,9 +30,9 @@
 		{"no longer allowed to answer", RenewalInput{Now: 12 * second, AnswerDeadline: 12 * second}, false, NoLongerOwner, 12 * second, 0},
 		{"a listed task, cancellation confirmed long ago", RenewalInput{Now: 10 * second, AnswerDeadline: 12 * second, MustStop: []Attempt{task}}, true, AllStopped, 12 * second, 1},
 		{"an order, answer in time", RenewalInput{Now: 10 * second, AnswerDeadline: 40 * second, MaxStaleness: 20 * second,
-			MayStart: []PossibleStart{{task, 5 * second}, {other, 2 * second}}}, true, InTime, 22 * second, 0},
+			MayStart: []PossibleStart{{task, 5 * second}, {otherAttempt, 2 * second}}}, true, InTime, 22 * second, 0},
 		{"an order, answer too late", RenewalInput{Now: 22 * second, AnswerDeadline: 40 * second, MaxStaleness: 20 * second,
-			MayStart: []PossibleStart{{task, 5 * second}, {other, 2 * second}}}, false, TooLate, 22 * second, 0},
+			MayStart: []PossibleStart{{task, 5 * second}, {otherAttempt, 2 * second}}}, false, TooLate, 22 * second, 0},
 		{"an order whose deadline is later than the controller's", RenewalInput{Now: 10 * second, AnswerDeadline: 12 * second, MaxStaleness: 20 * second,
 			MayStart: []PossibleStart{{task, 5 * second}}}, true, NothingCancelled, 12 * second, 0},
 	} {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -54,8 +54,8 @@
 // configFlags holds the flags with the paths of the settings files.
 type configFlags struct{ platform, operator string }
 
-// load reads and checks the settings files.
-func (f *configFlags) load() (*config.Settings, *config.OperatorSettings, error) {
+// loadSettings reads and checks the settings files.
+func (f *configFlags) loadSettings() (*config.Settings, *config.OperatorSettings, error) {
 	if f.platform == "" {
 		return nil, nil, usageError{errors.New("the flag --config is required")}
 	}
@@ -81,7 +81,7 @@
 	root.PersistentFlags().StringVar(&files.operator, "operator-config", os.Getenv("UMBERPADDLE_OPERATOR_CONFIG"), "the operator settings file (JSON), optional")
 	root.AddCommand(&cobra.Command{Use: "check-config", Short: "Check the settings files and exit", Args: noArgs,
 		RunE: func(*cobra.Command, []string) error {
-			if _, _, err := files.load(); err != nil {
+			if _, _, err := files.loadSettings(); err != nil {
 				return err
 			}
 			fmt.Fprintln(out, "settings are good")
@@ -99,7 +99,7 @@
 
 // serve runs a controller until the process receives SIGINT or SIGTERM.
 func serve(files *configFlags, errOut io.Writer) error {
-	settings, operator, err := files.load()
+	settings, operator, err := files.loadSettings()
 	if err != nil {
 		return err
 	}
@@ -141,12 +141,12 @@
 // readJob reads a job's description from a file, or from in if the file is "-".
 func readJob(in io.Reader, file string) (map[string]any, error) {
 	if file != "-" {
-		opened, err := os.Open(file)
+		openedFile, err := os.Open(file)
 		if err != nil {
 			return nil, usageError{err}
 		}
-		defer opened.Close()
-		in = opened
+		defer openedFile.Close()
+		in = openedFile
 	}
 	var job map[string]any
 	if err := json.NewDecoder(in).Decode(&job); err != nil {
@@ -173,11 +173,11 @@
 func request(client *http.Client, out io.Writer, method, url string, body any) error {
 	var reader io.Reader
 	if body != nil {
-		encoded, err := wire.Encode(body)
+		encodedBody, err := wire.Encode(body)
 		if err != nil {
 			return fmt.Errorf("encode the job: %w", err)
 		}
-		reader = bytes.NewReader(encoded)
+		reader = bytes.NewReader(encodedBody)
 	}
 	req, err := http.NewRequest(method, url, reader)
 	if err != nil {
@@ -210,12 +210,12 @@
 }
 
 // newLogger returns a logger with the level in LOG_LEVEL, or info if LOG_LEVEL is not set or not a level.
-func newLogger(w io.Writer) *slog.Logger {
+func newLogger(output io.Writer) *slog.Logger {
 	level := slog.LevelInfo
 	if name := os.Getenv("LOG_LEVEL"); name != "" {
 		if err := level.UnmarshalText([]byte(name)); err != nil {
 			level = slog.LevelInfo
 		}
 	}
-	return slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: level}))
+	return slog.New(slog.NewTextHandler(output, &slog.HandlerOptions{Level: level}))
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -81,12 +81,12 @@
 // comply with the limits both before and after the announced change.
 func (c *Cluster) StateSizeLimits() (txnOps int, valueKB float64) {
 	txnOps, valueKB = c.State.TxnOps, c.State.ValueKB
-	if next := c.State.Next; next != nil {
-		if next.TxnOps > 0 {
-			txnOps = min(txnOps, next.TxnOps)
+	if nextLimits := c.State.Next; nextLimits != nil {
+		if nextLimits.TxnOps > 0 {
+			txnOps = min(txnOps, nextLimits.TxnOps)
 		}
-		if next.ValueKB > 0 {
-			valueKB = min(valueKB, next.ValueKB)
+		if nextLimits.ValueKB > 0 {
+			valueKB = min(valueKB, nextLimits.ValueKB)
 		}
 	}
 	return txnOps, valueKB
@@ -161,13 +161,13 @@
 		}
 	}
 	seen := map[string]bool{s.Label: true}
-	for i, other := range s.Others {
+	for i, peer := range s.Others {
 		field := fmt.Sprintf("others[%d].", i)
-		if other.Label == "" || seen[other.Label] {
+		if peer.Label == "" || seen[peer.Label] {
 			return &FieldError{field + "label", "missing or not unique"}
 		}
-		seen[other.Label] = true
-		if err := checkAddr(field+"addr", other.Addr); err != nil {
+		seen[peer.Label] = true
+		if err := checkAddr(field+"addr", peer.Addr); err != nil {
 			return err
 		}
 	}
@@ -229,14 +229,14 @@
 	if c.State.TxnOps < minTxnOps {
 		return &FieldError{"cluster.state.txn_ops", fmt.Sprintf("must be at least %d", minTxnOps)}
 	}
-	next := c.State.Next
-	if next == nil {
+	nextLimits := c.State.Next
+	if nextLimits == nil {
 		return nil
 	}
-	if next.TxnOps != 0 && next.TxnOps < minTxnOps {
+	if nextLimits.TxnOps != 0 && nextLimits.TxnOps < minTxnOps {
 		return &FieldError{"cluster.state.next.txn_ops", fmt.Sprintf("must be at least %d", minTxnOps)}
 	}
-	if !(next.ValueKB >= 0) || !(next.WriteRPS >= 0) || next.ValueKB > 0 && next.ValueKB < 1 {
+	if !(nextLimits.ValueKB >= 0) || !(nextLimits.WriteRPS >= 0) || nextLimits.ValueKB > 0 && nextLimits.ValueKB < 1 {
 		return &FieldError{"cluster.state.next", "value_kb must be 0 or at least 1, and write_rps must not be negative"}
 	}
 	return nil
--- a/internal/controller/assignments.go
+++ b/internal/controller/assignments.go
@@ -106,15 +106,15 @@
 
 // accountUsage adds n tasks of a job to the usage of the job's team on a class. A negative n removes
 // tasks from the usage.
-func (c *Core) accountUsage(job *jobs.Job, class string, n int) {
-	byClass := c.booked[job.Team]
+func (c *Core) accountUsage(job *jobs.Job, class string, taskCount int) {
+	byClass := c.usageByTeam[job.Team]
 	if byClass == nil {
 		byClass = map[string]teamUsage{}
-		c.booked[job.Team] = byClass
+		c.usageByTeam[job.Team] = byClass
 	}
 	entry := byClass[class]
-	entry.tasks += n
-	entry.sum = entry.sum.Add(taskResources(job), float64(n))
+	entry.tasks += taskCount
+	entry.sum = entry.sum.Add(taskResources(job), float64(taskCount))
 	if entry.tasks <= 0 {
 		delete(byClass, class)
 		return
@@ -122,11 +122,11 @@
 	byClass[class] = entry
 }
 
-// bookedByClass returns a copy of the resources that a team has placed, by class. The allocation
+// allocatedByClass returns a copy of the resources that a team has placed, by class. The allocation
 // run adds to the copy.
-func (c *Core) bookedByClass(team string) map[string]allocation.Resources {
-	byClass := make(map[string]allocation.Resources, len(c.booked[team]))
-	for class, entry := range c.booked[team] {
+func (c *Core) allocatedByClass(team string) map[string]allocation.Resources {
+	byClass := make(map[string]allocation.Resources, len(c.usageByTeam[team]))
+	for class, entry := range c.usageByTeam[team] {
 		byClass[class] = entry.sum
 	}
 	return byClass
--- a/internal/controller/bad_requests_test.go
+++ b/internal/controller/bad_requests_test.go
@@ -24,7 +24,7 @@
 func alteredSubmission(id string, changes map[string]any) []byte {
 	job := batchSpec("blue", 2, 1, 5)
 	job["id"] = id
-	fillSubmission(job)
+	addSubmissionDefaults(job)
 	for name, value := range changes {
 		if value == nil {
 			delete(job, name)
@@ -157,7 +157,7 @@
 func TestInvalidHeartbeatsChangeNothing(t *testing.T) {
 	sim := busySimulation(1)
 	countRunning := func() (n int) {
-		for _, machine := range sim.created {
+		for _, machine := range sim.createdMachines {
 			for _, task := range machine.tasks {
 				if task.state == wire.TaskRunning {
 					n++
--- a/internal/controller/concurrent_failures_test.go
+++ b/internal/controller/concurrent_failures_test.go
@@ -112,7 +112,7 @@
 // need more than 20 s per task and were not cancelled.
 func (sim *simulation) longRunningJobs(limit int) (list []*simJob) {
 	runningTasks := map[*simJob]int{}
-	for _, machine := range sim.created {
+	for _, machine := range sim.createdMachines {
 		for _, t := range machine.tasks {
 			if t.state == wire.TaskRunning && !t.job.cancelRequested {
 				runningTasks[t.job]++
@@ -211,7 +211,7 @@
 // The functions below each disable one guard in the cores.
 var (
 	skipTakeoverWait = withCoreFault(func(c *Core) {
-		for _, j := range c.jobs.Open {
+		for _, j := range c.jobs.OpenJobs {
 			j.Frozen = false
 		}
 	})
@@ -222,7 +222,7 @@
 	})
 	assumeShortLease    = withCoreFault(func(c *Core) { c.pool.LeaseDuration = second })
 	ignoreCancellations = withCoreFault(func(c *Core) {
-		for _, j := range c.jobs.Open {
+		for _, j := range c.jobs.OpenJobs {
 			j.Cancelled = false
 		}
 	})
@@ -232,14 +232,14 @@
 		}
 	})
 	freeUnknownTasks = withCoreFault(func(core *Core) {
-		for _, j := range core.jobs.Open {
+		for _, j := range core.jobs.OpenJobs {
 			if j.Frozen {
 				j.Frozen = false
 			}
 		}
 	})
 	freeCancelledTasks = withCoreFault(func(core *Core) {
-		for _, job := range core.jobs.Open {
+		for _, job := range core.jobs.OpenJobs {
 			if job.Cancelled {
 				for _, task := range job.AssignedTasks() {
 					core.unassign(job, task)
@@ -302,12 +302,11 @@
 // hangFor returns a function that makes a machine hang for a duration.
 func hangFor(d time.Duration) func(m *simMachine) { return func(m *simMachine) { m.hang(d) } }
 
-// cutZone cuts a zone's machines and one controller off from the other controllers, the machines of
-// other zones and the state service for a duration. The machines and the controller still reach each
-// other.
+// cutZone partitions the network for a duration. The machines of a zone and one controller still reach
+// each other, but not the state service, the other controllers or the machines of other zones.
 func (sim *simulation) cutZone(zone string, node *simNode, d time.Duration) {
 	setZoneCut := func(cut bool) {
-		for _, machine := range sim.created {
+		for _, machine := range sim.createdMachines {
 			for _, p := range sim.nodes {
 				if machine.kind.Zone == zone && p != node || machine.kind.Zone != zone && p == node {
 					sim.setLinkCut(machine.id, p.label, cut)
@@ -356,7 +355,7 @@
 	}, disableGuard: skipTakeoverWait, brokenRules: "ran_twice quota sums"},
 	{name: "called off at the end", setup: func(sim *simulation) { sim.cancelAtEndRate, sim.queryAllNodes = 0.5, true }, injectFaults: func(*simulation) time.Duration { return 60 * second },
 		disableGuard: withCoreFault(func(core *Core) {
-			for _, job := range core.jobs.Open {
+			for _, job := range core.jobs.OpenJobs {
 				for task, p := range job.Assigned {
 					if p.State >= jobs.Running {
 						job.MarkDone(task)
@@ -398,7 +397,7 @@
 			timedFault{4 * second, func() { sim.crashOwner(2 * second) }}, timedFault{20 * second, func() { sim.everyNthBusyMachine(3, func(m *simMachine) { m.terminate() }) }})
 		return 40 * second
 	}, disableGuard: withCoreFault(func(c *Core) {
-		for _, j := range c.jobs.Open {
+		for _, j := range c.jobs.OpenJobs {
 			j.Zone = ""
 		}
 	}), brokenRules: "wrong_place"},
@@ -576,9 +575,9 @@
 }
 
 // runScenario runs a scenario and then 220 s without faults. Unless noStandardJobs is set, it submits
-// long jobs and random jobs first. If unguarded is set, it disables the scenario's guard after the
+// long jobs and random jobs first. If withoutGuard is set, it disables the scenario's guard after the
 // warm-up.
-func runScenario(scenario failureScenario, nodeCount int, seed uint64, unguarded bool, log func(string, ...any)) *simulation {
+func runScenario(scenario failureScenario, nodeCount int, seed uint64, withoutGuard bool, log func(string, ...any)) *simulation {
 	cfg := standardConfig()
 	cfg.nodeCount, cfg.cancelS = nodeCount, 34
 	sim := newSimulation(seed, cfg)
@@ -595,7 +594,7 @@
 		submitRandomJobs(sim, 20, 100*second)
 	}
 	sim.run(warmup)
-	if unguarded {
+	if withoutGuard {
 		scenario.disableGuard(sim)
 	}
 	faultDuration := scenario.injectFaults(sim)
--- a/internal/controller/connection_limit_test.go
+++ b/internal/controller/connection_limit_test.go
@@ -55,7 +55,7 @@
 // serving the open connections. Far below the limit it must close none.
 func TestThousandsOfKeepAliveConnections(t *testing.T) {
 	const attempts, limit = 2400, 2000
-	connect := func(maxSockets int) (kept, closed int) {
+	connect := func(maxSockets int) (keptCount, closedCount int) {
 		settings := isolatedSettings(t)
 		settings.Cluster.Workers.HeartbeatS, settings.Cluster.Workers.LeaseS, settings.Cluster.Workers.CancelS = 6, 31, 51
 		settings.Cluster.Resources.RAMMB, settings.Cluster.Resources.MaxSockets = 322, maxSockets
@@ -91,21 +91,21 @@
 				t.Fatal(err)
 			}
 			if sendHeartbeat(conn, i) {
-				kept++
+				keptCount++
 				openConns = append(openConns, conn)
 			} else {
-				closed++
+				closedCount++
 				conn.Close()
 			}
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		// The clients run in this process too, so the bound covers both ends of each connection.
-		if bytesPerConn := (int64(after.HeapInuse+after.StackInuse) - int64(before.HeapInuse+before.StackInuse)) / int64(kept); bytesPerConn > 64<<10 {
-			t.Errorf("%d bytes per connection with %d connections", bytesPerConn, kept)
+		if bytesPerConn := (int64(after.HeapInuse+after.StackInuse) - int64(before.HeapInuse+before.StackInuse)) / int64(keptCount); bytesPerConn > 64<<10 {
+			t.Errorf("%d bytes per connection with %d connections", bytesPerConn, keptCount)
 		}
 		if tasks, err := os.ReadDir("/proc/self/task"); err == nil && len(tasks) > 200 {
-			t.Errorf("%d threads for %d connections", len(tasks), kept)
+			t.Errorf("%d threads for %d connections", len(tasks), keptCount)
 		}
 		for i, conn := range openConns {
 			if i%10 == 0 && !sendHeartbeat(conn, i) {
@@ -113,12 +113,12 @@
 			}
 			defer conn.Close()
 		}
-		return kept, closed
+		return keptCount, closedCount
 	}
-	if kept, closed := connect(limit); kept > limit || kept < limit/2 || closed != attempts-kept {
-		t.Errorf("%d connections kept and %d closed with a limit of %d sockets", kept, closed, limit)
+	if keptCount, closedCount := connect(limit); keptCount > limit || keptCount < limit/2 || closedCount != attempts-keptCount {
+		t.Errorf("%d connections kept and %d closed with a limit of %d sockets", keptCount, closedCount, limit)
 	}
-	if _, closed := connect(10 * attempts); closed > 0 {
-		t.Errorf("%d connections closed far below the limit", closed)
+	if _, closedCount := connect(10 * attempts); closedCount > 0 {
+		t.Errorf("%d connections closed far below the limit", closedCount)
 	}
 }
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -33,7 +33,7 @@
 
 	activeTerms    map[string]uint64               // owned class -> term under which this node acts
 	loads          map[string]*machineLoad         // machine -> tasks assigned to it
-	booked         map[string]map[string]teamUsage // team -> class -> resources of its assigned tasks
+	usageByTeam    map[string]map[string]teamUsage // team -> class -> resources of its assigned tasks
 	machineRecords map[string]machineRecord
 	machineTable   *statestore.RecordTable // stores machineRecords
 	attemptCounter uint64                  // lower part of the last attempt number
@@ -52,9 +52,10 @@
 	nextArrivalQuery                              time.Duration
 
 	jobsChanged bool // the jobs' Active and Frozen must be recomputed
-	// reported and reportedAttempts are scratch maps that reconcile reuses for each task list.
-	reported         map[attemptKey]bool
-	reportedAttempts map[uint64]bool
+	// listedAttempts and listedAttemptNumbers are scratch maps for the attempts in a task list. reconcile
+	// reuses them for each list.
+	listedAttempts       map[attemptKey]bool
+	listedAttemptNumbers map[uint64]bool
 	// lastRound holds the tasks that the last scheduling round left waiting. allocateOnMachine uses
 	// it to fill the capacity that a single heartbeat frees. It is nil when it may be out of date.
 	lastRound *schedulingRound
@@ -124,12 +125,12 @@
 		now:                  now,
 		teams:                map[string]*config.Team{},
 		activeTerms:          map[string]uint64{},
-		reported:             map[attemptKey]bool{},
-		reportedAttempts:     map[uint64]bool{},
+		listedAttempts:       map[attemptKey]bool{},
+		listedAttemptNumbers: map[uint64]bool{},
 		directCalls:          map[uint64]*directCall{},
 		preemptions:          map[string]*preemption{},
 		loads:                map[string]*machineLoad{},
-		booked:               map[string]map[string]teamUsage{},
+		usageByTeam:          map[string]map[string]teamUsage{},
 		machineRecords:       map[string]machineRecord{},
 		foreignArrivals:      map[string]time.Duration{},
 		sentCounts:           map[string][2]int{},
@@ -147,17 +148,17 @@
 	}
 	cluster := &settings.Cluster
 	// These sizes are valid before and after an announced change of the state service's limits.
-	changes, valueKB := cluster.StateSizeLimits()
-	c.store = statestore.New(cluster.State.RPS, cluster.State.WriteRPS, changes, valueKB)
+	txnOps, valueKB := cluster.StateSizeLimits()
+	c.store = statestore.New(cluster.State.RPS, cluster.State.WriteRPS, txnOps, valueKB)
 	if next := cluster.State.Next; next != nil {
 		c.store.AnnounceWriteRate(next.WriteRPS)
 	}
-	var others []string
+	var peers []string
 	for _, other := range settings.Others {
-		others = append(others, other.Label)
+		peers = append(peers, other.Label)
 	}
 	maxStaleness := ownership.MaxStaleness(limits.Seconds(cluster.Workers.CancelS), limits.Seconds(cluster.Workers.LeaseS))
-	c.ownership = ownership.New(settings.Label, others, incarnation, now.Steady, maxStaleness, c.store, c.log)
+	c.ownership = ownership.New(settings.Label, peers, incarnation, now.Steady, maxStaleness, c.store, c.log)
 	c.jobs = jobs.New(c.store, c.ownership.OwnerGuard, c.ownership.RecordFormat, c.log)
 	c.machineTable = statestore.NewRecordTable(c.store, keyMachines, c.ownership.OwnerGuard, c.applyMachineRecord)
 	c.pool = workers.New(cluster.Workers.LeaseS, cluster.Workers.HeartbeatS)
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -26,57 +26,57 @@
 	return NewCore(settings, &config.OperatorSettings{}, Now{}, 7)
 }
 
-// checkUsageTotals compares the stored totals of placed tasks, used resources and booked
+// checkUsageTotals compares the stored totals of placed tasks, used resources and allocated
 // resources with totals computed from the jobs' assignments. It returns an error if they differ.
 func (c *Core) checkUsageTotals() error {
-	used, taskCount := map[string]allocation.Resources{}, map[string]int{}
-	booked := map[string]map[string]allocation.Resources{}
-	for _, job := range c.jobs.Open {
+	usedResources, taskCount := map[string]allocation.Resources{}, map[string]int{}
+	allocated := map[string]map[string]allocation.Resources{}
+	for _, job := range c.jobs.OpenJobs {
 		for task, assignment := range job.Assigned {
 			load := c.loads[assignment.Machine]
 			if load == nil || load.tasks[jobs.TaskID(job.ID, task)].job != job {
 				return fmt.Errorf("%s/%d is assigned to %s, whose recorded load does not contain it", job.ID, task, assignment.Machine)
 			}
-			used[assignment.Machine] = used[assignment.Machine].Add(taskResources(job), 1)
+			usedResources[assignment.Machine] = usedResources[assignment.Machine].Add(taskResources(job), 1)
 			taskCount[assignment.Machine]++
-			if booked[job.Team] == nil {
-				booked[job.Team] = map[string]allocation.Resources{}
+			if allocated[job.Team] == nil {
+				allocated[job.Team] = map[string]allocation.Resources{}
 			}
-			booked[job.Team][load.class] = booked[job.Team][load.class].Add(taskResources(job), 1)
+			allocated[job.Team][load.class] = allocated[job.Team][load.class].Add(taskResources(job), 1)
 		}
 	}
 	equal := func(a, b allocation.Resources) bool { return a.Fits(b) && b.Fits(a) }
 	for id, load := range c.loads {
-		planned := 0
-		for _, placed := range load.tasks {
-			assignment := placed.job.Assigned[placed.task]
+		plannedCount := 0
+		for _, ref := range load.tasks {
+			assignment := ref.job.Assigned[ref.task]
 			if assignment.State == jobs.Planned {
-				planned++
+				plannedCount++
 			}
-			if c.jobs.Open[placed.job.ID] != placed.job { // the job has ended, but no heartbeat has shown yet that its task is gone
-				used[id] = used[id].Add(taskResources(placed.job), 1)
+			if c.jobs.OpenJobs[ref.job.ID] != ref.job { // the job has ended, but no heartbeat has shown yet that its task is gone
+				usedResources[id] = usedResources[id].Add(taskResources(ref.job), 1)
 				taskCount[id]++
-				if booked[placed.job.Team] == nil {
-					booked[placed.job.Team] = map[string]allocation.Resources{}
+				if allocated[ref.job.Team] == nil {
+					allocated[ref.job.Team] = map[string]allocation.Resources{}
 				}
-				booked[placed.job.Team][load.class] = booked[placed.job.Team][load.class].Add(taskResources(placed.job), 1)
+				allocated[ref.job.Team][load.class] = allocated[ref.job.Team][load.class].Add(taskResources(ref.job), 1)
 			}
 		}
-		if len(load.tasks) != taskCount[id] || planned != load.plannedCount || !equal(load.used, used[id]) {
-			return fmt.Errorf("%s: %d tasks, %d planned, %v used; want %d, %d, %v", id, len(load.tasks), load.plannedCount, load.used, taskCount[id], planned, used[id])
+		if len(load.tasks) != taskCount[id] || plannedCount != load.plannedCount || !equal(load.used, usedResources[id]) {
+			return fmt.Errorf("%s: %d tasks, %d planned, %v used; want %d, %d, %v", id, len(load.tasks), load.plannedCount, load.used, taskCount[id], plannedCount, usedResources[id])
 		}
 	}
-	for team, byClass := range c.booked {
-		for class, booking := range byClass {
-			if !equal(booking.sum, booked[team][class]) {
-				return fmt.Errorf("%s on %s: %v booked, want %v", team, class, booking.sum, booked[team][class])
+	for team, byClass := range c.usageByTeam {
+		for class, usage := range byClass {
+			if !equal(usage.sum, allocated[team][class]) {
+				return fmt.Errorf("%s on %s: %v allocated, want %v", team, class, usage.sum, allocated[team][class])
 			}
 		}
 	}
-	for team, byClass := range booked {
+	for team, byClass := range allocated {
 		for class := range byClass {
-			if _, ok := c.booked[team][class]; !ok {
-				return fmt.Errorf("%s on %s: no booking", team, class)
+			if _, ok := c.usageByTeam[team][class]; !ok {
+				return fmt.Errorf("%s on %s: no allocation", team, class)
 			}
 		}
 	}
@@ -84,8 +84,8 @@
 }
 
 // TestEndedAttemptDoesNotHideALostLaunch checks that an ended attempt that is not cleared yet is
-// not mistaken for a later attempt whose launch was lost. If it were, the task would never be
-// launched again.
+// not mistaken for a later attempt whose launch was lost. With this mistake, the task would never
+// be launched again.
 func TestEndedAttemptDoesNotHideALostLaunch(t *testing.T) {
 	core := newTestCore(t)
 	spec := &wire.Job{ID: "job-1", Team: "red", Tasks: 1, CPUs: 1, Types: []string{"small"}}
@@ -94,7 +94,7 @@
 		t.Fatal(err)
 	}
 	core.jobs.Apply(statestore.Change{Key: statestore.Root + "o/job-1", Entry: statestore.Entry{Value: raw, Version: 1}})
-	job := core.jobs.Open["job-1"]
+	job := core.jobs.OpenJobs["job-1"]
 	machine := core.pool.GetOrAdd("i-1", "small", "a", false, 0)
 	machine.Adopted = true
 	machine.Tasks = []wire.TaskStatus{{Task: "job-1/0", Attempt: 1, State: wire.TaskEnded, Cause: wire.CauseError}}
@@ -234,8 +234,8 @@
 			t.Fatal(err)
 		}
 		core.jobs.Apply(statestore.Change{Key: statestore.Root + "o/" + id, Entry: statestore.Entry{Value: raw, Version: 1}})
-		core.jobs.Open[id].Active = true
-		return core.jobs.Open[id]
+		core.jobs.OpenJobs[id].Active = true
+		return core.jobs.OpenJobs[id]
 	}
 	core.pool.GetOrAdd("i-1", "large", "a", true, 0)
 	smallJob := openJob("job-1", 2, "large", "small")
@@ -249,15 +249,15 @@
 	if count := plan.countByKind[fleet.Kind{Class: "small", Zone: "a", Spot: true}]; count != 2 {
 		t.Errorf("%d small machines planned for the 16 CPUs that small tasks use, want 2", count)
 	}
-	idle := core.pool.GetOrAdd("i-2", "small", "a", true, 0)
-	idle.Adopted = true
+	idleMachine := core.pool.GetOrAdd("i-2", "small", "a", true, 0)
+	idleMachine.Adopted = true
 	core.fleet.Track("i-2", fleet.Kind{Class: "small", Zone: "a", Spot: true}, 0)
 	idleIsReturned := func() bool {
 		for _, at := range []time.Duration{100, 200} {
 			core.now.Steady = at * time.Second
 			core.returnIdleMachines(nil)
 		}
-		return idle.Deleting
+		return idleMachine.Deleting
 	}
 	if idleIsReturned() {
 		t.Error("an idle machine that keeps small tasks off scarce machines was returned")
@@ -307,7 +307,7 @@
 			core := newTestCore(t)
 			core.store.Mirror.Loaded = true
 			if tc.recordedHere {
-				core.jobs.Open["job-000001"] = &jobs.Job{Job: &wire.Job{ID: "job-000001", Tasks: 1}}
+				core.jobs.OpenJobs["job-000001"] = &jobs.Job{Job: &wire.Job{ID: "job-000001", Tasks: 1}}
 			}
 			reply := wire.TxnReply{Revision: 9}
 			if tc.failedKey != "" {
--- a/internal/controller/deposed_owner_test.go
+++ b/internal/controller/deposed_owner_test.go
@@ -17,21 +17,21 @@
 		sim := newSimulation(seed, singleTypeConfig())
 		sim.submitJob("job-000001", batchSpec("red", 4, 2, 300), 300)
 		sim.run(warmup)
-		deposed := sim.owner()
-		term := deposed.core.ownership.Terms()["small"]
-		sim.isolateFor(deposed, 14*second)
-		sim.peerOf(deposed).pause(16 * second)
+		deposedOwner := sim.owner()
+		term := deposedOwner.core.ownership.Terms()["small"]
+		sim.isolateFor(deposedOwner, 14*second)
+		sim.peerOf(deposedOwner).pause(16 * second)
 		sim.run(warmup + 10*second)
 		successor := sim.owner()
-		if successor == nil || successor == deposed {
+		if successor == nil || successor == deposedOwner {
 			t.Fatalf("seed %d: no controller took over", seed)
 		}
 		sim.failStoreFor(60 * second)
 		successor.crash(400 * time.Millisecond)
 		for end := sim.now + 20*second; sim.now < end; {
 			sim.run(sim.now + 100*time.Millisecond)
-			held := deposed.core.ownership.Terms()["small"] == term
-			if held && deposed.core.ownership.MayAnswer() {
+			held := deposedOwner.core.ownership.Terms()["small"] == term
+			if held && deposedOwner.core.ownership.MayAnswer() {
 				t.Errorf("seed %d: at %.1f s the deposed owner acts under term %d although the class is held under term %d",
 					seed, sim.now.Seconds(), term, sim.store.records[ownerKey].version)
 				break
--- a/internal/controller/deterministic_replay_test.go
+++ b/internal/controller/deterministic_replay_test.go
@@ -23,17 +23,17 @@
 	for seed := *firstRepeatedSeed; seed < *firstRepeatedSeed+*repeatedRunCount; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			first, second := recordSentMessages(t, seed), recordSentMessages(t, seed)
-			for i := range min(len(first), len(second)) {
-				if first[i] != second[i] {
-					t.Fatalf("after %d equal lines:\n%s\n%s", i, first[i], second[i])
+			firstRun, secondRun := recordSentMessages(t, seed), recordSentMessages(t, seed)
+			for i := range min(len(firstRun), len(secondRun)) {
+				if firstRun[i] != secondRun[i] {
+					t.Fatalf("after %d equal lines:\n%s\n%s", i, firstRun[i], secondRun[i])
 				}
 			}
-			if len(first) != len(second) {
-				t.Fatalf("%d lines in the first run, %d in the second", len(first), len(second))
+			if len(firstRun) != len(secondRun) {
+				t.Fatalf("%d lines in the first run, %d in the second", len(firstRun), len(secondRun))
 			}
-			if len(first) < 1000 {
-				t.Errorf("only %d lines: too few to compare", len(first))
+			if len(firstRun) < 1000 {
+				t.Errorf("only %d lines: too few to compare", len(firstRun))
 			}
 		})
 	}
--- a/internal/controller/direct.go
+++ b/internal/controller/direct.go
@@ -46,22 +46,22 @@
 // sendDirectLaunches sends planned launches to their machines at once, up to
 // limits.MaxDirectOrdersInFlight orders at a time. The remaining launches wait until one of these orders
 // is answered, or for the machine's next heartbeat. Unlike an answer to a heartbeat, a direct order may
-// be executed at any later time at which its fencing token and worker incarnation are still the current
-// ones. So until the order is answered, a heartbeat that does not list its attempts does not prove that
-// they will not start, and an order that is never answered may take effect as long as the worker's
+// be executed at any later time at which its fencing token and worker incarnation are still current. So
+// until the order is answered, a heartbeat that does not list its attempts does not prove that the
+// attempts will not start, and an order that is never answered may take effect as long as the worker's
 // incarnation lasts.
 func (c *Core) sendDirectLaunches() {
-	sent := 0
+	visitedCount := 0
 	for _, machineID := range c.plannedMachines {
 		if len(c.directCalls)-c.probesInFlight-c.fencesInFlight >= limits.MaxDirectOrdersInFlight {
 			break
 		}
-		sent++
+		visitedCount++
 		if machine, load := c.pool.Machines[machineID], c.loads[machineID]; c.mayOrderDirectly(machine, load) {
 			c.sendLaunches(machine, load)
 		}
 	}
-	c.plannedMachines = slices.Delete(c.plannedMachines, 0, sent)
+	c.plannedMachines = slices.Delete(c.plannedMachines, 0, visitedCount)
 }
 
 // mayOrderDirectly reports whether the launches planned for a machine may be sent in a direct
--- a/internal/controller/earlier_orders_test.go
+++ b/internal/controller/earlier_orders_test.go
@@ -9,7 +9,7 @@
 // Cause: an owner launches the task with a direct order, which is delayed in transit, and then
 // loses its ownership. The user cancels the job, and another owner takes over. The machine, which
 // was unreachable, sends the new owner a heartbeat with the earlier owner's fencing token, since it
-// has received no later one. The new owner answers with 200: the heartbeat lists no cancelled task,
+// has received no later token. The new owner answers with 200: the heartbeat lists no cancelled task,
 // and the new owner has no record of the earlier owner's order. The order arrives between the
 // heartbeat and the answer and is executed, since its fencing token and incarnation match. The
 // renewal lets the task run for a whole lease. If the machine becomes unreachable again, nothing
@@ -44,7 +44,7 @@
 )
 
 // Seeds of TestHeldOrderStartsNoCancelledTask. TestDelayedOrdersBreakNoRule uses the first half of
-// them. A larger -held.days finds rarer failures.
+// the seeds. A larger -held.days finds rarer failures.
 var (
 	heldOrderFirstSeed = flag.Uint64("held.first", 1, "first seed of the simulations with an order delayed past a takeover")
 	heldOrderSeedCount = flag.Uint64("held.days", 24, "number of simulations with an order delayed past a takeover")
@@ -263,7 +263,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			owner := newSteppedOwner(t)
 			owner.cancelJobOfPreviousOwner()
-			tc.setup(owner, owner.core.jobs.Open[cancelledJob])
+			tc.setup(owner, owner.core.jobs.OpenJobs[cancelledJob])
 			outputs := owner.sendHeartbeatWithToken(owner.machine.Term - 1)
 			answers, fence := answersOf(outputs), owner.findFence(outputs)
 			if tc.waits && (len(answers) > 0 || fence == nil) {
@@ -403,7 +403,7 @@
 		node.crash(sim.randomDuration(0.1, 2))
 	}
 	sim.run(sim.now + 40*second) // longer than a lease
-	for _, machine := range sim.created {
+	for _, machine := range sim.createdMachines {
 		if machine.up && !machine.gone {
 			incarnationsEnded += int(machine.incarnation) - 1
 		}
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -96,10 +96,10 @@
 		Msg   string
 		Args  []any
 	}
-	// PeerCall is a message to a peer. Sent is the time of the step that returned the call.
+	// PeerCall is a message to a peer. SentAt is the time of the step that returned the call.
 	PeerCall struct {
 		Peer   string
-		Sent   time.Duration
+		SentAt time.Duration
 		Msg    PeerMessage
 		Number uint64 // sequence number among the calls to peers; 0 unless links are monitored
 	}
--- a/internal/controller/fault_injection_test.go
+++ b/internal/controller/fault_injection_test.go
@@ -54,14 +54,14 @@
 		sim = newSimulation(seed, cfg)
 		submitLongJobs(sim, 8)
 		sim.run(50 * time.Second)
-		old := sim.owner()
-		next := sim.nodes[(old.index+1)%len(sim.nodes)]
+		oldOwner := sim.owner()
+		successor := sim.nodes[(oldOwner.index+1)%len(sim.nodes)]
 		returned := sim.countReturnedMachines()
 		sim.injectFault = injectFault
-		sim.cutWorkers(old, sim.now+30*time.Second)
-		sim.cutWorkers(next, sim.now+30*time.Second)
+		sim.cutWorkers(oldOwner, sim.now+30*time.Second)
+		sim.cutWorkers(successor, sim.now+30*time.Second)
 		sim.run(sim.now + 20*time.Second)
-		if owner := sim.owner(); injectFault == nil && (owner == nil || owner == old || owner == next) {
+		if owner := sim.owner(); injectFault == nil && (owner == nil || owner == oldOwner || owner == successor) {
 			t.Error("no node that workers reach owns the classes")
 		}
 		sim.run(sim.now + 20*time.Second)
@@ -121,32 +121,32 @@
 					sim := newSimulation(seed, standardConfig())
 					submitLongJobs(sim, 8)
 					sim.run(50 * time.Second)
-					old := sim.owner()
-					moves, last := 0, old
+					oldOwner := sim.owner()
+					moves, lastOwner := 0, oldOwner
 					end := sim.now + 40*time.Second
 					for on := true; sim.now < end; {
 						if fault.name == "everything" && on {
-							sim.cutWorkers(old, end)
+							sim.cutWorkers(oldOwner, end)
 						}
-						fault.cut(sim, old, on)
+						fault.cut(sim, oldOwner, on)
 						for stop := sim.now + 5*time.Second; sim.now < stop; {
 							sim.run(sim.now + 100*time.Millisecond)
-							if owner := sim.owner(); owner != nil && owner != last {
-								moves, last = moves+1, owner
+							if owner := sim.owner(); owner != nil && owner != lastOwner {
+								moves, lastOwner = moves+1, owner
 							}
 						}
 						if flapping {
 							on = !on
 						}
 					}
-					if owner := sim.owner(); owner == nil || (!flapping && owner == old) {
+					if owner := sim.owner(); owner == nil || (!flapping && owner == oldOwner) {
 						t.Error("no node that can serve the classes owns them")
 					}
 					if moves > 5 {
 						t.Errorf("the classes moved %d times", moves)
 					}
-					fault.cut(sim, old, false)
-					sim.cutWorkers(old, sim.now)
+					fault.cut(sim, oldOwner, false)
+					sim.cutWorkers(oldOwner, sim.now)
 					sim.faultsEndedAt = sim.now
 					sim.run(sim.now + 300*time.Second)
 					sim.mustKeepRules(t)
--- a/internal/controller/fences.go
+++ b/internal/controller/fences.go
@@ -29,8 +29,8 @@
 // started. Without the fence, an earlier owner's order may start a cancelled task between the
 // heartbeat and its answer; no controller records the task, and it runs for a whole lease.
 func (c *Core) holdForFence(request HeartbeatRequest, machine *workers.Machine, decision authority.Decision) {
-	if earlier := c.heldHeartbeats[machine.ID]; earlier != nil {
-		c.refuseHeartbeat(earlier.request) // the worker no longer waits for this answer
+	if earlierHeartbeat := c.heldHeartbeats[machine.ID]; earlierHeartbeat != nil {
+		c.refuseHeartbeat(earlierHeartbeat.request) // the worker no longer waits for this answer
 	}
 	c.renewalCounts.FenceHeld++
 	c.log(slog.LevelDebug, "renewal waits for a fence", "machine", machine.ID, "session", machine.Incarnation, "term", machine.Term, "token", request.Heartbeat.FencingToken, "job", decision.CauseJob)
@@ -45,22 +45,22 @@
 	for len(c.fenceQueue) > 0 && c.fencesInFlight < limits.MaxFencesInFlight {
 		machineID := c.fenceQueue[0]
 		c.fenceQueue = c.fenceQueue[1:]
-		if held := c.heldHeartbeats[machineID]; held != nil && held.fencesSent == 0 {
-			c.sendFence(machineID, held)
+		if heartbeat := c.heldHeartbeats[machineID]; heartbeat != nil && heartbeat.fencesSent == 0 {
+			c.sendFence(machineID, heartbeat)
 		}
 	}
 }
 
 // sendFence sends a fence for a held heartbeat. A fence may be in flight together with other orders
 // to the same machine, since it launches nothing.
-func (c *Core) sendFence(machineID string, held *heldHeartbeat) {
+func (c *Core) sendFence(machineID string, heartbeat *heldHeartbeat) {
 	machine := c.pool.Machines[machineID]
 	if machine == nil {
 		return
 	}
-	call := &directCall{machine: machine.ID, incarnation: held.request.Heartbeat.Incarnation, term: machine.Term, fence: true, repeat: held.fencesSent > 0}
-	held.nextFence = c.now.Steady + limits.FenceRepeatDelay<<held.fencesSent
-	held.fencesSent++
+	call := &directCall{machine: machine.ID, incarnation: heartbeat.request.Heartbeat.Incarnation, term: machine.Term, fence: true, repeat: heartbeat.fencesSent > 0}
+	heartbeat.nextFence = c.now.Steady + limits.FenceRepeatDelay<<heartbeat.fencesSent
+	heartbeat.fencesSent++
 	c.renewalCounts.FenceOrders++
 	c.fencesInFlight++
 	if call.repeat {
@@ -93,20 +93,20 @@
 // answerHeldHeartbeat answers the held heartbeat of a machine, if there is one and the worker has
 // since seen this owner's fencing token.
 func (c *Core) answerHeldHeartbeat(machineID string) {
-	machine, held := c.pool.Machines[machineID], c.heldHeartbeats[machineID]
-	if machine == nil || held == nil || !c.isFenced(machine, held) {
+	machine, heartbeat := c.pool.Machines[machineID], c.heldHeartbeats[machineID]
+	if machine == nil || heartbeat == nil || !c.isFenced(machine, heartbeat) {
 		return
 	}
 	delete(c.heldHeartbeats, machineID)
 	c.renewalCounts.Fenced++
-	c.renewOrRefuse(held.request, machine, workers.Overtaken)
+	c.renewOrRefuse(heartbeat.request, machine, workers.Overtaken)
 }
 
 // isFenced reports whether the worker has seen this owner's fencing token in the same incarnation
 // that sent the held heartbeat. For a fenced worker, the machine's task list is complete.
-func (c *Core) isFenced(machine *workers.Machine, held *heldHeartbeat) bool {
+func (c *Core) isFenced(machine *workers.Machine, heartbeat *heldHeartbeat) bool {
 	term, owned := c.activeTerms[machine.Class]
-	return owned && c.ownership.MayAnswer() && machine.Term == term && machine.Adopted && machine.Incarnation == held.request.Heartbeat.Incarnation
+	return owned && c.ownership.MayAnswer() && machine.Term == term && machine.Adopted && machine.Incarnation == heartbeat.request.Heartbeat.Incarnation
 }
 
 // updateHeldHeartbeats repeats fences that were not answered, and refuses the heartbeats that have
@@ -116,12 +116,12 @@
 		return
 	}
 	for _, machineID := range slices.Sorted(maps.Keys(c.heldHeartbeats)) {
-		held := c.heldHeartbeats[machineID]
+		heartbeat := c.heldHeartbeats[machineID]
 		switch {
-		case c.now.Steady >= held.deadline:
+		case c.now.Steady >= heartbeat.deadline:
 			c.refuseHeldHeartbeat(machineID)
-		case held.fencesSent > 0 && c.now.Steady >= held.nextFence && c.fenceRepeats < limits.MaxFenceRepeats && c.fencesInFlight < limits.MaxFencesInFlight:
-			c.sendFence(machineID, held)
+		case heartbeat.fencesSent > 0 && c.now.Steady >= heartbeat.nextFence && c.fenceRepeats < limits.MaxFenceRepeats && c.fencesInFlight < limits.MaxFencesInFlight:
+			c.sendFence(machineID, heartbeat)
 		}
 	}
 }
@@ -130,8 +130,8 @@
 // called when this node releases the class. Without that call, once this node owned the class again, it
 // would still send fences for the old heartbeat, with a term of 0.
 func (c *Core) refuseHeldHeartbeat(machineID string) {
-	held := c.heldHeartbeats[machineID]
-	if held == nil {
+	heartbeat := c.heldHeartbeats[machineID]
+	if heartbeat == nil {
 		return
 	}
 	delete(c.heldHeartbeats, machineID)
@@ -139,6 +139,6 @@
 	if machine := c.pool.Machines[machineID]; machine != nil {
 		machine.NotFenced = true
 	}
-	c.log(slog.LevelInfo, "renewal withheld", "machine", machineID, "session", held.request.Heartbeat.Incarnation, "reason", string(authority.NotFenced), "orders", held.fencesSent)
-	c.refuseHeartbeat(held.request)
+	c.log(slog.LevelInfo, "renewal withheld", "machine", machineID, "session", heartbeat.request.Heartbeat.Incarnation, "reason", string(authority.NotFenced), "orders", heartbeat.fencesSent)
+	c.refuseHeartbeat(heartbeat.request)
 }
--- a/internal/controller/gang_reserve.go
+++ b/internal/controller/gang_reserve.go
@@ -20,7 +20,7 @@
 // sumGangStartDemand returns the demand of all unfinished gangs that should start within seconds.
 func (c *Core) sumGangStartDemand() gangStartDemand {
 	demand := gangStartDemand{images: map[string]bool{}, classes: map[string]bool{}}
-	for _, job := range c.jobs.Open {
+	for _, job := range c.jobs.OpenJobs {
 		if !job.Gang || !job.Active || job.Cancelled || job.Faulty() || c.startWithin(job) <= 0 {
 			continue
 		}
@@ -56,15 +56,15 @@
 		return
 	}
 	totalCPUs, reservedCPUs := 0.0, 0.0
-	present := map[string]bool{}
+	listedMachines := map[string]bool{}
 	for _, machine := range machines {
 		totalCPUs += machine.Capacity.CPUs
-		present[machine.ID] = true
+		listedMachines[machine.ID] = true
 		if c.gangOnlyMachines[machine.ID] {
 			reservedCPUs += machine.Capacity.CPUs
 		}
 	}
-	maps.DeleteFunc(c.gangOnlyMachines, func(id string, _ bool) bool { return !present[id] })
+	maps.DeleteFunc(c.gangOnlyMachines, func(id string, _ bool) bool { return !listedMachines[id] })
 	maxCPUs := limits.MaxGangReserveShare * totalCPUs
 	wantedCPUs := min(limits.GangReserveFactor*c.gangDemand, maxCPUs)
 	if reservedCPUs >= wantedCPUs {
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -50,7 +50,7 @@
 	}
 	// Without the check for faulty jobs, a gang that fails on every machine would have machines
 	// reserved for each retry.
-	unit.Overdue = !job.Faulty() && c.age(job.SubmitUnix) > limits.GangHoldAge
+	unit.Overdue = !job.Faulty() && c.age(job.SubmitUnix) > limits.GangReservationAge
 	return unit.Count > 0
 }
 
@@ -61,7 +61,7 @@
 	for machineID, machine := range c.pool.Machines {
 		for task := range machine.EndedTasks {
 			jobID, _ := jobs.SplitTaskID(task)
-			if job := c.jobs.Open[jobID]; job != nil && job.Gang {
+			if job := c.jobs.OpenJobs[jobID]; job != nil && job.Gang {
 				byGang[jobID] = append(byGang[jobID], machineID)
 			}
 		}
@@ -233,14 +233,14 @@
 func (c *Core) updateGangs() {
 	steadyNow := c.now.Steady
 	var jobIDs []string
-	for jobID, job := range c.jobs.Open {
+	for jobID, job := range c.jobs.OpenJobs {
 		if job.Gang && job.Active && !job.Frozen && (job.GangRun.Attempt != 0 || len(job.Assigned) > 0) {
 			jobIDs = append(jobIDs, jobID)
 		}
 	}
 	slices.Sort(jobIDs)
 	for _, jobID := range jobIDs {
-		job := c.jobs.Open[jobID]
+		job := c.jobs.OpenJobs[jobID]
 		if job.GangRun.Attempt == 0 && len(job.Assigned) > 0 {
 			c.adoptGangAttempt(job)
 		}
@@ -258,25 +258,25 @@
 // commands are sent again. If tasks are missing and none has run yet, the missing tasks are launched
 // under the same attempt number. An attempt whose missing tasks can't be launched any more is ended.
 func (c *Core) adoptGangAttempt(job *jobs.Job) {
-	mixed, saving := false, false
+	hasMixedAttempts, hasSavingTask := false, false
 	for _, task := range job.AssignedTasks() {
 		assignment := job.Assigned[task]
 		if job.GangRun.Attempt == 0 {
 			job.GangRun = jobs.GangRun{Attempt: assignment.Attempt, LeftMachines: map[string]bool{}}
 		}
-		mixed = mixed || assignment.Attempt != job.GangRun.Attempt
-		saving = saving || assignment.State == jobs.Saving
+		hasMixedAttempts = hasMixedAttempts || assignment.Attempt != job.GangRun.Attempt
+		hasSavingTask = hasSavingTask || assignment.State == jobs.Saving
 		job.GangRun.Started = job.GangRun.Started || assignment.State >= jobs.Running
 	}
-	switch complete := len(job.Assigned) == job.Tasks; {
-	case mixed:
+	switch allAssigned := len(job.Assigned) == job.Tasks; {
+	case hasMixedAttempts:
 		c.endGangAttempt(job, gangMixedAttempts)
-	case saving:
+	case hasSavingTask:
 		// The earlier owner may have ordered only some of the tasks to save and stop. Without this case,
 		// the progress would be lost although these tasks saved it.
 		job.GangRun.StoppedAt = c.now.Steady
 		c.sendGangStops(job, "")
-	case complete:
+	case allAssigned:
 	case job.GangRun.Started || !c.canCompleteGangAttempt(job):
 		c.endGangAttempt(job, gangIncomplete)
 	default:
@@ -292,20 +292,20 @@
 // young.
 func (c *Core) canCompleteGangAttempt(job *jobs.Job) bool {
 	for _, machine := range c.pool.Machines {
-		for _, t := range machine.Tasks {
-			if jobID, _ := jobs.SplitTaskID(t.Task); jobID == job.ID && t.Attempt == job.GangRun.Attempt && t.State == wire.TaskEnded {
+		for _, status := range machine.Tasks {
+			if jobID, _ := jobs.SplitTaskID(status.Task); jobID == job.ID && status.Attempt == job.GangRun.Attempt && status.State == wire.TaskEnded {
 				return false // the other tasks of the attempt will be stopped or time out
 			}
 		}
 	}
 	fetchS := 0.0
 	for _, class := range job.Types {
-		if t := c.fleet.Types[class]; t != nil && t.FetchGBps > 0 {
-			fetchS = max(fetchS, job.ImageGB/t.FetchGBps)
+		if machineType := c.fleet.Types[class]; machineType != nil && machineType.FetchGBps > 0 {
+			fetchS = max(fetchS, job.ImageGB/machineType.FetchGBps)
 		}
 	}
-	wait := limits.Seconds(c.settings.Cluster.Workers.GangWaitS)
-	return c.age(job.SubmitUnix)+limits.Seconds(fetchS)+limits.GangCompletionTime < wait
+	gangWait := limits.Seconds(c.settings.Cluster.Workers.GangWaitS)
+	return c.age(job.SubmitUnix)+limits.Seconds(fetchS)+limits.GangCompletionTime < gangWait
 }
 
 // mustStopGang reports whether a machine's recall is so near that a gang with a task on the
--- a/internal/controller/gangs_test.go
+++ b/internal/controller/gangs_test.go
@@ -58,7 +58,7 @@
 // machineOfUnstartedGang returns a machine with a gang's task that is fetching its image or waiting
 // for the other tasks of the gang, or nil.
 func (sim *simulation) machineOfUnstartedGang() *simMachine {
-	for _, machine := range sim.created {
+	for _, machine := range sim.createdMachines {
 		for _, id := range machine.taskOrder {
 			if task := machine.tasks[id]; task != nil && task.job.gang && (task.state == wire.TaskFetching || task.state == wire.TaskGathering) {
 				return machine
@@ -85,7 +85,7 @@
 		}
 		return 40 * second
 	}, disableGuard: withCoreFault(func(core *Core) {
-		for _, job := range core.jobs.Open { // lets a new attempt start before the old attempt has ended
+		for _, job := range core.jobs.OpenJobs { // lets a new attempt start before the old attempt has ended
 			if job.Gang && job.GangRun.Ending {
 				for _, task := range job.AssignedTasks() {
 					core.unassign(job, task)
@@ -193,7 +193,7 @@
 // TestStoppedGangsSave checks that at least 80% of the gangs that are stopped because the cloud
 // recalls spot machines save their state.
 func TestStoppedGangsSave(t *testing.T) {
-	saved, ended := 0, 0
+	savedCount, endedCount := 0, 0
 	for seed := uint64(1); seed <= 3; seed++ {
 		for _, scenario := range gangFailureScenarios {
 			if scenario.name != "gangs are told to stop" {
@@ -201,17 +201,17 @@
 			}
 			sim := runScenario(scenario, 3, seed, false, nil)
 			for _, job := range sim.jobs {
-				saved += job.savedCount
+				savedCount += job.savedCount
 			}
 			for _, gang := range sim.gangs {
 				if gang.started && gang.saveRequestedAt > 0 {
-					ended++
+					endedCount++
 				}
 			}
 		}
 	}
-	if ended < 5 || saved*10 < ended*8 {
-		t.Errorf("%d of %d stopped gangs saved their state", saved, ended)
+	if endedCount < 5 || savedCount*10 < endedCount*8 {
+		t.Errorf("%d of %d stopped gangs saved their state", savedCount, endedCount)
 	}
 }
 
@@ -225,7 +225,7 @@
 	gang = sim.submitJob("job-000002", newGangSubmission("blue", 4, 4, 15), 15)
 	var awaitFetching func()
 	awaitFetching = func() {
-		for _, machine := range sim.created {
+		for _, machine := range sim.createdMachines {
 			for _, task := range machine.tasks {
 				if task.job == gang && task.state == wire.TaskFetching {
 					sim.injectFault = injectFault
@@ -293,7 +293,7 @@
 		}
 		job := &jobs.Job{Job: &wire.Job{ID: "job-1", Team: "red", Gang: true, Tasks: 2, CPUs: 1, SubmitUnix: 1e9 - tc.age}, Active: true,
 			Assigned: map[int]jobs.Assignment{}, FailedOn: map[string]bool{}}
-		core.jobs.Open["job-1"] = job
+		core.jobs.OpenJobs["job-1"] = job
 		core.assign(job, 0, jobs.Assignment{Machine: "i-1", Attempt: 7, State: jobs.Fetching})
 		core.updateGangs()
 		if completed := !job.GangRun.Ending && job.GangRun.Attempt == 7; completed != tc.want {
@@ -326,7 +326,7 @@
 	for tasks, refused := range map[int]bool{10: false, 11: true} {
 		submission := newGangSubmission("red", tasks, 4, 10)
 		submission["id"] = "job-000001"
-		fillSubmission(submission)
+		addSubmissionDefaults(submission)
 		parsed, err := wire.ParseSubmission(mustEncode(submission))
 		if err != nil {
 			t.Fatal(err)
@@ -345,7 +345,7 @@
 	core.fleet.Types["small"] = &wire.MachineType{Name: "small", CPUs: 8, MemoryGB: 32, Zones: []string{"a"}}
 	submission := newGangSubmission("red", 4, 4, 10)
 	submission["id"] = "job-000001"
-	fillSubmission(submission)
+	addSubmissionDefaults(submission)
 	if answer := firstAnswer(t, core.Step(Now{Steady: time.Second}, Submit{Ref: 1, Body: mustEncode(submission)})); answer.Status != 503 || answer.RetryAfter == 0 {
 		t.Errorf("answer %+v, want status 503 with a retry delay", answer)
 	}
@@ -402,13 +402,13 @@
 	}
 	core.now.Steady += time.Minute
 	gang := &jobs.Job{Job: &wire.Job{ID: "job-1", Class: "x", Gang: true, Tasks: 8, CPUs: 2, Image: "img", Types: []string{"small"}}, Active: true}
-	core.jobs.Open["job-1"] = gang
+	core.jobs.OpenJobs["job-1"] = gang
 	core.reserveForGangs(machines)
 	if count := len(core.gangOnlyMachines); count != 3 || !core.gangOnlyMachines["i-31"] {
 		t.Errorf("machines reserved for 16 CPUs: %v, want 3 with i-31", core.gangOnlyMachines)
 	}
 	array := &allocation.Unit{Job: "a", Need: allocation.Resources{CPUs: 1}, Count: 1000, Classes: map[string]bool{"small": true}, Spot: true}
-	for _, placement := range allocation.Run([]*allocation.Team{{Name: "red", Booked: map[string]allocation.Resources{}, Units: []*allocation.Unit{array}}}, machines, nil, nil) {
+	for _, placement := range allocation.Run([]*allocation.Team{{Name: "red", Allocated: map[string]allocation.Resources{}, Units: []*allocation.Unit{array}}}, machines, nil, nil) {
 		if core.gangOnlyMachines[placement.Machine.ID] {
 			t.Fatalf("an array's task is on %s", placement.Machine.ID)
 		}
@@ -419,7 +419,7 @@
 	if count := len(core.gangOnlyMachines); count != 6 {
 		t.Errorf("%d of 40 machines are reserved, want 6", count)
 	}
-	delete(core.jobs.Open, "job-1")
+	delete(core.jobs.OpenJobs, "job-1")
 	core.now.Steady += 20 * time.Minute
 	core.reserveForGangs(machines)
 	if len(core.gangOnlyMachines) != 0 {
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -84,22 +84,22 @@
 }
 
 // reconcile updates the assignments to match the machine's task list, and returns commands with the
-// resulting commands appended. The list comes from a current heartbeat or, if direct is set, from
-// the answer to a direct order.
-func (c *Core) reconcile(machine *workers.Machine, commands []wire.Command, direct bool) []wire.Command {
+// resulting commands appended. The list comes from a current heartbeat or, if inOrderReply is set,
+// from the answer to a direct order.
+func (c *Core) reconcile(machine *workers.Machine, commands []wire.Command, inOrderReply bool) []wire.Command {
 	mayLaunch := c.ownership.MayLaunch()
 	// The key includes the attempt number. Without the number, an ended attempt that waits to be cleared
 	// would be mistaken for a later attempt whose launch was lost, and the task would never be launched
 	// again.
-	reported := c.reported
-	clear(reported)
-	clear(c.reportedAttempts)
+	listedAttempts := c.listedAttempts
+	clear(listedAttempts)
+	clear(c.listedAttemptNumbers)
 	clear(machine.EndedTasks)
 	for _, status := range machine.Tasks {
-		reported[attemptKey{status.Task, status.Attempt}] = true
-		c.reportedAttempts[status.Attempt] = true
+		listedAttempts[attemptKey{status.Task, status.Attempt}] = true
+		c.listedAttemptNumbers[status.Attempt] = true
 		jobID, task := jobs.SplitTaskID(status.Task)
-		job := c.jobs.Open[jobID]
+		job := c.jobs.OpenJobs[jobID]
 		if job != nil && (task < 0 || task >= job.Tasks) {
 			job = nil
 		}
@@ -111,9 +111,9 @@
 			commands = append(commands, wire.Command{Verb: wire.VerbStop, Task: status.Task, Attempt: status.Attempt, GraceS: graceS})
 		}
 	}
-	c.unassignMissingTasks(machine, direct)
+	c.unassignMissingTasks(machine, inOrderReply)
 	for number, order := range machine.Orders {
-		if !c.reportedAttempts[number] && order.State != workers.OrderUnanswered && !machine.DirectOrderInFlight {
+		if !c.listedAttemptNumbers[number] && order.State != workers.OrderUnanswered && !machine.DirectOrderInFlight {
 			delete(machine.Orders, number)
 		}
 	}
@@ -123,24 +123,24 @@
 // unassignMissingTasks removes the assignments whose attempts are missing from the machine's newest task
 // list, which reconcile has just processed. The launch of such an attempt was lost, or the attempt ended
 // with an incarnation of the worker.
-func (c *Core) unassignMissingTasks(machine *workers.Machine, direct bool) {
+func (c *Core) unassignMissingTasks(machine *workers.Machine, inOrderReply bool) {
 	load := c.loadOf(machine.ID)
-	var missing []string
+	var missingTasks []string
 	for taskID, ref := range load.tasks {
 		assignment := ref.job.Assigned[ref.task]
 		switch {
-		case c.reported[attemptKey{taskID, assignment.Attempt}] || assignment.State == jobs.Planned:
+		case c.listedAttempts[attemptKey{taskID, assignment.Attempt}] || assignment.State == jobs.Planned:
 		case (assignment.Delivery == jobs.DirectPending || assignment.Delivery == jobs.DirectUnknown) && assignment.WorkerIncarnation == machine.Incarnation:
-		case direct && assignment.Delivery == jobs.InReply && assignment.State == jobs.Sent:
+		case inOrderReply && assignment.Delivery == jobs.InReply && assignment.State == jobs.Sent:
 			// The launch was sent in the answer to a heartbeat, and the worker may have sent this
 			// list before it received that answer, so the list proves nothing. Without this case,
 			// the task would be considered lost and started a second time on another machine.
 		default:
-			missing = append(missing, taskID)
+			missingTasks = append(missingTasks, taskID)
 		}
 	}
-	slices.Sort(missing)
-	for _, taskID := range missing {
+	slices.Sort(missingTasks)
+	for _, taskID := range missingTasks {
 		ref := load.tasks[taskID]
 		c.unassign(ref.job, ref.task)
 	}
@@ -153,18 +153,18 @@
 	if job == nil || job.Done.Has(task) {
 		return true, 0 // the task is done, or belongs to no open job
 	}
-	previous, known := job.Assigned[task]
-	if known && previous.Machine != machine.ID && previous.State != jobs.Planned {
-		c.log(slog.LevelError, "task in two places", "task", status.Task, "machine", machine.ID, "other", previous.Machine)
+	assignment, known := job.Assigned[task]
+	if known && assignment.Machine != machine.ID && assignment.State != jobs.Planned {
+		c.log(slog.LevelError, "task in two places", "task", status.Task, "machine", machine.ID, "other", assignment.Machine)
 		return true, 0
 	}
-	runningSince := previous.RunningSince
+	runningSince := assignment.RunningSince
 	if runningSince == 0 && status.State == wire.TaskRunning {
 		runningSince = c.now.Steady
 	}
 	c.assign(job, task, jobs.Assignment{Machine: machine.ID, Attempt: status.Attempt, State: taskState(status.State), RunningSince: runningSince})
 	if status.State == wire.TaskRunning {
-		if !known || previous.State < jobs.Running {
+		if !known || assignment.State < jobs.Running {
 			c.log(slog.LevelDebug, "task running", "job", job.ID, "task", task, "machine", machine.ID, "class", job.Class, "afterS", c.age(job.SubmitUnix).Seconds())
 		}
 		job.Started = true
@@ -205,7 +205,7 @@
 	return jobs.Fetching
 }
 
-// mustSave reports whether a task that can save its state must do so now, before the cloud takes
+// mustSave reports whether a task that can save its state must save it now, before the cloud takes
 // its machine.
 func (c *Core) mustSave(machine *workers.Machine, job *jobs.Job) bool {
 	if machine.RecallAt == 0 || job.CheckpointS <= 0 {
--- a/internal/controller/http_api.go
+++ b/internal/controller/http_api.go
@@ -50,14 +50,14 @@
 // send nothing would take up memory. If the body cannot be read, readBody writes the error response and
 // returns false.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
-	bounded := http.MaxBytesReader(w, r.Body, limits.MaxBodyBytes)
+	boundedBody := http.MaxBytesReader(w, r.Body, limits.MaxBodyBytes)
 	var body []byte
 	var err error
 	if r.ContentLength >= 0 && r.ContentLength <= limits.MaxPreallocatedBodyBytes {
 		body = make([]byte, r.ContentLength)
-		_, err = io.ReadFull(bounded, body)
+		_, err = io.ReadFull(boundedBody, body)
 	} else {
-		body, err = io.ReadAll(bounded)
+		body, err = io.ReadAll(boundedBody)
 	}
 	if err != nil {
 		status := 400
@@ -173,19 +173,19 @@
 	return s.inboundConns.Load()+s.orderConns.Load() < s.connectionLimit
 }
 
-// countedConn is a connection that is included in the counter open until it is closed.
+// countedConn is a connection that is included in the counter openCount until it is closed.
 type countedConn struct {
 	net.Conn
-	open *atomic.Int64
-	once sync.Once
+	openCount *atomic.Int64
+	once      sync.Once
 }
 
-func newCountedConn(conn net.Conn, open *atomic.Int64) *countedConn {
-	open.Add(1)
-	return &countedConn{Conn: conn, open: open}
+func newCountedConn(conn net.Conn, openCount *atomic.Int64) *countedConn {
+	openCount.Add(1)
+	return &countedConn{Conn: conn, openCount: openCount}
 }
 
 func (c *countedConn) Close() error {
-	c.once.Do(func() { c.open.Add(-1) })
+	c.once.Do(func() { c.openCount.Add(-1) })
 	return c.Conn.Close()
 }
--- a/internal/controller/http_client.go
+++ b/internal/controller/http_client.go
@@ -57,12 +57,12 @@
 	defer cancel()
 	var reader io.Reader
 	if body != nil {
-		encoded, err := wire.Encode(body)
+		encodedBody, err := wire.Encode(body)
 		if err != nil {
 			s.log.Error("cannot encode the body of a request", "path", path, "error", err)
 			return 400, nil, true
 		}
-		reader = bytes.NewReader(encoded)
+		reader = bytes.NewReader(encodedBody)
 	}
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+host+path, reader)
 	if err != nil {
--- a/internal/controller/job_order.go
+++ b/internal/controller/job_order.go
@@ -102,11 +102,11 @@
 		return c.jobOrder
 	}
 	c.jobOrderStale, c.jobOrderAt = false, c.now.Steady
-	ranked := c.rankJobs()
-	slices.SortFunc(ranked, compareRanked)
-	c.jobOrder = make([]*jobs.Job, len(ranked))
-	for i := range ranked {
-		c.jobOrder[i] = ranked[i].Job
+	rankedJobs := c.rankJobs()
+	slices.SortFunc(rankedJobs, compareRanked)
+	c.jobOrder = make([]*jobs.Job, len(rankedJobs))
+	for i := range rankedJobs {
+		c.jobOrder[i] = rankedJobs[i].Job
 	}
 	return c.jobOrder
 }
@@ -115,14 +115,14 @@
 // capacity, sorting by least slack would make one job after the other late, so jobs that can still
 // meet a target are then also sorted by least remaining work.
 func (c *Core) rankJobs() []rankedJob {
-	var ranked []rankedJob
+	var rankedJobs []rankedJob
 	demandCPUSeconds := 0.0
-	for _, job := range c.jobs.Open {
+	for _, job := range c.jobs.OpenJobs {
 		if !job.Active {
 			continue
 		}
 		secondsLeft, canMeetTarget := c.timeLeft(job)
-		ranked = append(ranked, rankedJob{job, c.isStartOverdue(job), canMeetTarget, secondsLeft - job.EstimateS})
+		rankedJobs = append(rankedJobs, rankedJob{job, c.isStartOverdue(job), canMeetTarget, secondsLeft - job.EstimateS})
 		if canMeetTarget {
 			demandCPUSeconds += remainingWork(job)
 		}
@@ -134,12 +134,12 @@
 		}
 	}
 	overloaded := demandCPUSeconds > capacityCPUs*limits.OverloadHorizon.Seconds()
-	for i := range ranked {
-		if !ranked[i].canMeetTarget || overloaded {
-			ranked[i].sortKey = remainingWork(ranked[i].Job)
+	for i := range rankedJobs {
+		if !rankedJobs[i].canMeetTarget || overloaded {
+			rankedJobs[i].sortKey = remainingWork(rankedJobs[i].Job)
 		}
 	}
-	return ranked
+	return rankedJobs
 }
 
 // compareRanked is the sort order of jobs: the job that should start first comes first.
--- a/internal/controller/knowledge_log.go
+++ b/internal/controller/knowledge_log.go
@@ -30,8 +30,8 @@
 	c.log(slog.LevelDebug, "slow reply of the state service", "method", call.Method, "path", call.Path, "call", reply.ID, "status", reply.Status, "tookS", latency.Seconds())
 }
 
-// cancellationsAge returns the age of this node's view of the cancellations. Only cancellations that
-// were confirmed within that time may be missing from the view.
+// cancellationsAge returns the age of this node's view of the cancellations. A cancellation
+// can be missing from the view only if it was confirmed to a user less than this age ago.
 func (c *Core) cancellationsAge() time.Duration {
 	return c.now.Steady - c.ownership.CancellationsKnownThrough()
 }
--- a/internal/controller/links.go
+++ b/internal/controller/links.go
@@ -131,20 +131,20 @@
 	if l == nil {
 		return
 	}
-	switch received := input.(type) {
+	switch event := input.(type) {
 	case StoreReply:
-		l.recordReply(storeCallID(received.ID), received.Status, now)
+		l.recordReply(storeCallID(event.ID), event.Status, now)
 	case CloudReply:
-		l.recordReply(cloudCallID(received.ID), received.Status, now)
+		l.recordReply(cloudCallID(event.ID), event.Status, now)
 	case PeerReply:
-		link := peerLink(received.Call.Peer)
-		if received.Unanswered {
-			l.monitor.RecordLost(link, received.Call.Number, now)
+		link := peerLink(event.Call.Peer)
+		if event.Unanswered {
+			l.monitor.RecordLost(link, event.Call.Number, now)
 		} else {
-			l.monitor.RecordAnswer(link, received.Call.Number, now, false)
+			l.monitor.RecordAnswer(link, event.Call.Number, now, false)
 		}
 	case PeerRequest:
-		l.recordPeerMessage(received.Msg, now)
+		l.recordPeerMessage(event.Msg, now)
 	case Submit, Query, Cancel:
 		l.monitor.RecordReceived(usersLink, now)
 	}
--- a/internal/controller/links_test.go
+++ b/internal/controller/links_test.go
@@ -107,31 +107,31 @@
 	if err := os.WriteFile(operator, []byte(`{"reachability": {"enabled": true}}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	monitored, otherMonitored, unmonitored := cluster.processes[0], cluster.processes[1], cluster.processes[2]
-	for _, p := range []*controllerProcess{monitored, otherMonitored} {
+	monitoredProcess, otherMonitoredProcess, unmonitoredProcess := cluster.processes[0], cluster.processes[1], cluster.processes[2]
+	for _, p := range []*controllerProcess{monitoredProcess, otherMonitoredProcess} {
 		p.operatorFile = operator
 		cluster.replace(p, binary)
 	}
 	cluster.submitJobs(0, 4)
 	cluster.waitForAllJobs("jobs while one controller has no link monitoring")
-	cluster.waitForLinks(monitored, "views of both controllers", func(r LinksReply) bool {
+	cluster.waitForLinks(monitoredProcess, "views of both controllers", func(r LinksReply) bool {
 		return len(r.Views) == 2 && r.StateLoss == reachability.Intact && slices.ContainsFunc(r.Views[1].Links, func(s reachability.Status) bool {
 			return s.Link == reachability.Link{Kind: reachability.StateRequests} && s.State == reachability.Up
 		})
 	})
-	if _, err := FetchLinks(unmonitored.peerAddr, waitLimit); err == nil || err.Error() != ErrLinksDisabled.Error() {
+	if _, err := FetchLinks(unmonitoredProcess.peerAddr, waitLimit); err == nil || err.Error() != ErrLinksDisabled.Error() {
 		t.Errorf("a controller without link monitoring returned %v", err)
 	}
-	cluster.live.do(func() { cluster.live.sim.setLinkCut(monitored.label, "state", true) })
-	cluster.waitForLinks(monitored, "the loss is detected", func(r LinksReply) bool { return r.StateLoss == reachability.Alone })
-	cluster.waitForLinks(otherMonitored, "the peer's loss is detected", func(r LinksReply) bool {
+	cluster.live.do(func() { cluster.live.sim.setLinkCut(monitoredProcess.label, "state", true) })
+	cluster.waitForLinks(monitoredProcess, "the loss is detected", func(r LinksReply) bool { return r.StateLoss == reachability.Alone })
+	cluster.waitForLinks(otherMonitoredProcess, "the peer's loss is detected", func(r LinksReply) bool {
 		return r.StateLoss == reachability.Intact && slices.ContainsFunc(r.Views, func(v reachability.View) bool {
 			reachable, known := v.Reaches(reachability.StateDependency)
-			return v.Node == monitored.label && known && !reachable
+			return v.Node == monitoredProcess.label && known && !reachable
 		})
 	})
-	cluster.live.do(func() { cluster.live.sim.setLinkCut(monitored.label, "state", false) })
-	cluster.waitForLinks(monitored, "the recovery is detected", func(r LinksReply) bool { return r.StateLoss == reachability.Intact })
+	cluster.live.do(func() { cluster.live.sim.setLinkCut(monitoredProcess.label, "state", false) })
+	cluster.waitForLinks(monitoredProcess, "the recovery is detected", func(r LinksReply) bool { return r.StateLoss == reachability.Intact })
 	cluster.checkAllRunning()
 }
 
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -117,16 +117,16 @@
 // recordMachinesBooting requests records of machines that are still booting. The next owner then
 // sees them before the cloud's lists contain them, and rents no replacements.
 func (c *Core) recordMachinesBooting() {
-	var booting []string
+	var bootingIDs []string
 	for id, rental := range c.fleet.Rentals {
 		_, recorded := c.machineRecords[id]
 		_, owned := c.activeTerms[rental.Kind.Class]
 		if owned && !recorded && !c.recordRequested[id] && !rental.Deleting && !rental.Up && rental.ListedStatus == "" {
-			booting = append(booting, id)
+			bootingIDs = append(bootingIDs, id)
 		}
 	}
-	slices.Sort(booting) // map order must not decide which records share a key
-	for _, id := range booting {
+	slices.Sort(bootingIDs) // map order must not decide which records share a key
+	for _, id := range bootingIDs {
 		rental := c.fleet.Rentals[id]
 		c.machineTable.Set(rental.Kind.Class, id, c.newMachineRecord(rental.Kind, rental.RentedAt), limits.DeferredWriteDelay)
 	}
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -92,7 +92,7 @@
 	for _, status := range machine.Tasks {
 		if status.State == wire.TaskEnded && status.Cause == wire.CauseDone {
 			jobID, task := jobs.SplitTaskID(status.Task)
-			if job := c.jobs.Open[jobID]; job != nil && task >= 0 && task < job.Tasks && !job.IsDurable(task) {
+			if job := c.jobs.OpenJobs[jobID]; job != nil && task >= 0 && task < job.Tasks && !job.IsDurable(task) {
 				return true
 			}
 		}
--- a/internal/controller/malformed_resubmission_test.go
+++ b/internal/controller/malformed_resubmission_test.go
@@ -13,7 +13,7 @@
 	core := newTestCore(t)
 	job := batchSpec("red", 1, 1, 1)
 	job["id"] = "job-000001"
-	fillSubmission(job)
+	addSubmissionDefaults(job)
 	delete(job, "stowS")
 	for _, out := range core.Step(Now{Steady: time.Second}, Submit{Ref: 1, Body: mustEncode(job)}) {
 		if answer, ok := out.(Answer); ok && answer.Status == 400 {
--- a/internal/controller/mixed_versions_test.go
+++ b/internal/controller/mixed_versions_test.go
@@ -86,18 +86,18 @@
 	return version > p.startRevision && owner == self && leader == self
 }
 
-// makeLeaderAndOwner kills all other controllers, waits until next is the leader and owner, and restarts
-// the others with the binaries that they ran before.
-func (c *processCluster) makeLeaderAndOwner(next *controllerProcess) {
+// makeLeaderAndOwner kills all other controllers, waits until successor is the leader and owner,
+// and restarts the others with the binaries that they ran before.
+func (c *processCluster) makeLeaderAndOwner(successor *controllerProcess) {
 	c.t.Helper()
 	for _, p := range c.processes {
-		if p != next {
+		if p != successor {
 			c.kill(p)
 		}
 	}
-	c.waitFor("takeover by "+next.label, next.isLeaderAndOwner)
+	c.waitFor("takeover by "+successor.label, successor.isLeaderAndOwner)
 	for _, p := range c.processes {
-		if p != next {
+		if p != successor {
 			c.start(p, p.binary)
 		}
 	}
@@ -106,7 +106,7 @@
 // postJob posts a job to one controller and returns the HTTP status, or 0 if there was no answer.
 func (c *processCluster) postJob(process *controllerProcess, id string, job map[string]any) int {
 	job["id"] = id
-	fillSubmission(job)
+	addSubmissionDefaults(job)
 	answer, err := c.userClient.Post("http://"+process.apiAddr+"/work", "application/msgpack", bytes.NewReader(mustEncode(job)))
 	if err != nil {
 		return 0
@@ -161,12 +161,12 @@
 // with 4 tasks per CPU.
 const maxConcurrentTasks = 6 * 8 * 4
 
-// runMixedVersions runs the rolling upgrade of TestMixedVersions from the old binary to the current one.
-func runMixedVersions(t *testing.T, cfg simConfig, old, current string, oldSupportsGangs bool) {
-	cluster := startProcessCluster(t, cfg, old, 3)
+// runMixedVersions runs the rolling upgrade of TestMixedVersions from oldBinary to currentBinary.
+func runMixedVersions(t *testing.T, cfg simConfig, oldBinary, currentBinary string, oldSupportsGangs bool) {
+	cluster := startProcessCluster(t, cfg, oldBinary, 3)
 	first, second, last := cluster.processes[0], cluster.processes[1], cluster.processes[2]
 	if !oldSupportsGangs {
-		cluster.watchForNewRecords(old)
+		cluster.watchForNewRecords(oldBinary)
 	}
 	submittedGangs := 0
 	submitGangs := func(count int) {
@@ -195,7 +195,7 @@
 	}
 	cluster.waitFor("work under the old version", func(*simulation) bool { return largeJob.doneCount > 50 })
 
-	cluster.replace(first, current)
+	cluster.replace(first, currentBinary)
 	cluster.submitJobs(10, 4)
 	cluster.makeLeaderAndOwner(first) // the new version reads the records of the old one
 	mustRefuseGangs("one controller is new", first)
@@ -217,16 +217,16 @@
 	cluster.submitJobs(30, 4)
 	before = largeJob.doneCount
 	cluster.waitFor("work under an old owner again", func(*simulation) bool { return largeJob.doneCount > before+50 })
-	cluster.replace(second, current)
+	cluster.replace(second, currentBinary)
 	mustRefuseGangs("two controllers are new", second)
 
-	cluster.replace(first, old) // rollback halfway
-	cluster.replace(second, old)
+	cluster.replace(first, oldBinary) // rollback halfway
+	cluster.replace(second, oldBinary)
 	cluster.submitJobs(40, 4)
-	cluster.replace(second, current)
-	cluster.replace(first, current)
+	cluster.replace(second, currentBinary)
+	cluster.replace(first, currentBinary)
 	mustRefuseGangs("rolled forward, one controller is old", first)
-	cluster.replace(last, current)
+	cluster.replace(last, currentBinary)
 	cluster.submitJobs(50, 4)
 	cluster.waitFor("the newest record format", func(sim *simulation) bool {
 		format := sim.store.records["u/format"]
--- a/internal/controller/owned_classes.go
+++ b/internal/controller/owned_classes.go
@@ -27,11 +27,11 @@
 			}
 			return 1
 		}
-		total := weightOf(c.settings.Label)
+		totalWeight := weightOf(c.settings.Label)
 		for _, peer := range c.settings.Others {
-			total += weightOf(peer.Label)
+			totalWeight += weightOf(peer.Label)
 		}
-		return weightOf(c.settings.Label) / total
+		return weightOf(c.settings.Label) / totalWeight
 	}
 	c.store.SetShare(share(limits.OwnerRequestWeight), share(limits.OwnerWriteWeight))
 }
@@ -40,7 +40,7 @@
 // none of its tasks is left, because those tasks still use up the team's limit.
 func (c *Core) demand() ownership.Demand {
 	demand := ownership.Demand{}
-	for _, job := range c.jobs.Open {
+	for _, job := range c.jobs.OpenJobs {
 		classes := demand[job.Team]
 		if classes == nil {
 			classes = map[string]bool{}
@@ -130,7 +130,7 @@
 			hasUnresolvedMachines[machine.Class] = true
 		}
 	}
-	for _, job := range c.jobs.Open {
+	for _, job := range c.jobs.OpenJobs {
 		if !c.updateActive(job, hasUnresolvedMachines) {
 			continue
 		}
--- a/internal/controller/partial_failures_test.go
+++ b/internal/controller/partial_failures_test.go
@@ -98,17 +98,17 @@
 		sim := newSimulation(seed, cfg)
 		submitLongJobs(sim, 8)
 		sim.run(50 * time.Second)
-		old := sim.owner()
-		sim.setIsolated(old, true)
+		oldOwner := sim.owner()
+		sim.setIsolated(oldOwner, true)
 		sim.run(58 * time.Second)
-		if old.core.ownership.MayAnswer() {
+		if oldOwner.core.ownership.MayAnswer() {
 			t.Error("the isolated owner still answers workers")
 		}
-		if n := sim.owner(); n == nil || n == old {
+		if n := sim.owner(); n == nil || n == oldOwner {
 			t.Error("no controller took over")
 		}
 		sim.run(80 * time.Second)
-		sim.setIsolated(old, false)
+		sim.setIsolated(oldOwner, false)
 		sim.run(300 * time.Second)
 		sim.mustKeepRules(t)
 		sim.mustFinish(t)
@@ -197,7 +197,7 @@
 // simulateOverload runs a simulation with far more work than capacity and returns the time at which
 // the largest job started, or 0. Small urgent jobs arrive continuously. The largest job, whose tasks
 // each need a whole machine, is submitted one second before the first urgent job.
-func simulateOverload(cfg simConfig, seed uint64, injectFault func(*Core)) (sim *simulation, started time.Duration) {
+func simulateOverload(cfg simConfig, seed uint64, injectFault func(*Core)) (sim *simulation, startedAt time.Duration) {
 	cfg.teams = []config.Team{{Name: "blue"}}
 	cfg.machineTypes = []wire.MachineType{{Name: "small", CPUs: 8, MemoryGB: 32, Price: 0.5, SpotPrice: 0.2, BootS: 5, Zones: []string{"a"}}}
 	cfg.capacity = map[fleet.Kind]int{{Class: "small", Zone: "a"}: 4}
@@ -211,17 +211,17 @@
 	for i := 1; i <= 140; i++ {
 		sim.schedule(time.Duration(2+2*i)*time.Second, func() { sim.submitJob(fmt.Sprintf("job-%06d", i), newSpec("urgent", 12, 1), 10) })
 	}
-	for sim.now < 280*time.Second && started == 0 {
+	for sim.now < 280*time.Second && startedAt == 0 {
 		sim.run(sim.now + time.Second)
 		for _, machine := range sim.machines {
 			for id, task := range machine.tasks {
 				if strings.HasPrefix(id, "job-000000/") && task.state == wire.TaskRunning {
-					started = sim.now
+					startedAt = sim.now
 				}
 			}
 		}
 	}
-	return sim, started
+	return sim, startedAt
 }
 
 // TestLargestJobStartsUnderOverload verifies that the largest job starts within four minutes although
@@ -235,7 +235,7 @@
 		sim.mustKeepRules(t)
 	})
 	if _, started := simulateOverload(standardConfig(), 1, func(c *Core) {
-		for _, j := range c.jobs.Open {
+		for _, j := range c.jobs.OpenJobs {
 			j.Started = true // no job ever counts as overdue
 		}
 	}); started != 0 {
@@ -252,16 +252,16 @@
 		sim := newSimulation(seed, cfg)
 		submitLongJobs(sim, 6)
 		sim.run(50 * time.Second)
-		last := sim.owner()
+		lastOwner := sim.owner()
 		for _, node := range sim.nodes {
 			restartDelay := sim.randomDuration(3.0, 3.3)
-			if node == last {
+			if node == lastOwner {
 				restartDelay = 3600 * time.Millisecond
 			}
 			node.crash(restartDelay)
 		}
 		sim.run(55 * time.Second)
-		if n := sim.owner(); n != last {
+		if n := sim.owner(); n != lastOwner {
 			t.Errorf("the last owner does not act 1.4 s after its restart")
 		}
 		sim.run(300 * time.Second)
@@ -293,7 +293,7 @@
 		sim = newSimulation(seed, cfg)
 		submitLongJobs(sim, 8)
 		sim.run(50 * time.Second)
-		old := sim.owner()
+		oldOwner := sim.owner()
 		sim.injectFault = injectFault
 		up := 0
 		for _, m := range sim.machines {
@@ -301,9 +301,9 @@
 				up++
 			}
 		}
-		sim.cutWorkers(old, sim.now+time.Duration(3*cfg.leaseS*float64(time.Second)))
+		sim.cutWorkers(oldOwner, sim.now+time.Duration(3*cfg.leaseS*float64(time.Second)))
 		sim.run(sim.now + 12*time.Second)
-		if n := sim.owner(); injectFault == nil && (n == nil || n == old) {
+		if n := sim.owner(); injectFault == nil && (n == nil || n == oldOwner) {
 			t.Error("no controller took over from the owner that its workers cannot reach")
 		}
 		sim.run(sim.now + time.Duration(3*cfg.leaseS*float64(time.Second)))
@@ -341,16 +341,16 @@
 		sim := newSimulation(seed, cfg)
 		submitLongJobs(sim, 8)
 		sim.run(50 * time.Second)
-		var busy []*simMachine
+		var busyMachines []*simMachine
 		for _, id := range sortedKeys(sim.machines) {
 			if m := sim.machines[id]; m.up && !m.gone && len(m.tasks) > 0 {
-				busy = append(busy, m)
+				busyMachines = append(busyMachines, m)
 			}
 		}
 		sim.injectFault = injectFault
 		sim.cutWorkers(sim.nodes[0], sim.now+12*time.Second)
 		sim.run(sim.now + 16*time.Second)
-		for _, m := range busy {
+		for _, m := range busyMachines {
 			if m.gone {
 				gone++
 			}
--- a/internal/controller/peer_messages.go
+++ b/internal/controller/peer_messages.go
@@ -42,8 +42,8 @@
 	// not list. Versions without the field ignore it.
 	Faulty []string
 	// Uptime is how long the peer's process has run, if an extension was requested. An earlier
-	// incarnation of the peer may have taken over from the sender, and the present one may have no
-	// record of that. Versions without the field ignore it.
+	// incarnation of the peer may have taken over from the node that requests the extension, and the
+	// present incarnation may have no record of the takeover. Versions without the field ignore it.
 	Uptime time.Duration
 }
 
@@ -76,8 +76,8 @@
 // messageAll sends a message to every other controller.
 func (c *Core) messageAll(message PeerMessage) {
 	message.From = c.settings.Label
-	for _, other := range c.settings.Others {
-		c.outputs = append(c.outputs, PeerCall{Peer: other.Label, Sent: c.now.Steady, Msg: message})
+	for _, peer := range c.settings.Others {
+		c.outputs = append(c.outputs, PeerCall{Peer: peer.Label, SentAt: c.now.Steady, Msg: message})
 	}
 }
 
@@ -85,28 +85,28 @@
 // owner always sends a message, even without content: the answers list the jobs that earlier owners
 // reported as faulty.
 func (c *Core) sendCounts() {
-	counts, current := map[string][2]int{}, map[string][2]int{}
-	var faulty []string
-	for id, job := range c.jobs.Open {
+	changedCounts, currentCounts := map[string][2]int{}, map[string][2]int{}
+	var faultyJobs []string
+	for id, job := range c.jobs.OpenJobs {
 		if !job.Active {
 			continue
 		}
 		if job.Faulty() && !job.Cancelled {
-			faulty = append(faulty, id)
+			faultyJobs = append(faultyJobs, id)
 		}
 		count := [2]int{job.DoneCount, job.RunningCount()}
-		current[id] = count
+		currentCounts[id] = count
 		if c.sentCounts[id] != count {
-			counts[id] = count
+			changedCounts[id] = count
 		}
 	}
-	first := c.sentCounts == nil
-	c.sentCounts = current
-	if len(counts) == 0 && len(faulty) == 0 && !first {
+	firstMessage := c.sentCounts == nil
+	c.sentCounts = currentCounts
+	if len(changedCounts) == 0 && len(faultyJobs) == 0 && !firstMessage {
 		return
 	}
-	slices.Sort(faulty)
-	c.messageAll(PeerMessage{Counts: counts, Faulty: faulty})
+	slices.Sort(faultyJobs)
+	c.messageAll(PeerMessage{Counts: changedCounts, Faulty: faultyJobs})
 }
 
 func (c *Core) handlePeerRequest(request PeerRequest) {
@@ -150,8 +150,8 @@
 		}
 	case message.Promise:
 		c.mergeCancellations(answer.Cancelled)
-		c.ownership.RecordPeerCancellations(peer, reply.Call.Sent, answer.Vouch, answer.Behind)
-		c.ownership.RecordExtension(peer, reply.Call.Sent, answer.Yes, answer.Uptime)
+		c.ownership.RecordPeerCancellations(peer, reply.Call.SentAt, answer.Vouch, answer.Behind)
+		c.ownership.RecordExtension(peer, reply.Call.SentAt, answer.Yes, answer.Uptime)
 	case answer.Yes:
 		c.jobs.MarkFaulty(answer.Faulty)
 		for _, id := range message.Cancelled {
@@ -191,15 +191,15 @@
 	}
 	c.nextCancelNotice = now + limits.ExtensionInterval
 	owners := c.ownership.Owners()
-	for _, other := range c.settings.Others {
-		ids := c.pendingCancelNotices[other.Label]
+	for _, peer := range c.settings.Others {
+		ids := c.pendingCancelNotices[peer.Label]
 		if len(ids) == 0 {
 			continue
 		}
-		if !owners[other.Label] { // the next owner has read the cancellations from the state service
-			delete(c.pendingCancelNotices, other.Label)
+		if !owners[peer.Label] { // the next owner has read the cancellations from the state service
+			delete(c.pendingCancelNotices, peer.Label)
 			continue
 		}
-		c.outputs = append(c.outputs, PeerCall{Peer: other.Label, Sent: now, Msg: PeerMessage{From: c.settings.Label, Cancelled: slices.Sorted(maps.Keys(ids))}})
+		c.outputs = append(c.outputs, PeerCall{Peer: peer.Label, SentAt: now, Msg: PeerMessage{From: c.settings.Label, Cancelled: slices.Sorted(maps.Keys(ids))}})
 	}
 }
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -112,11 +112,11 @@
 	client := p.client
 	p.mu.Unlock()
 	result := new(PeerAnswer)
-	done := client.Go("Peer.Tell", message, result, make(chan *rpc.Call, 1)).Done
+	callDone := client.Go("Peer.Tell", message, result, make(chan *rpc.Call, 1)).Done
 	timeout := time.NewTimer(limits.PeerTimeout)
 	defer timeout.Stop()
 	select {
-	case call := <-done:
+	case call := <-callDone:
 		err = call.Error
 	case <-timeout.C:
 		// An answer that arrives later is written to result, which is not read after a timeout.
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -33,7 +33,7 @@
 	}
 	tasksLeft := map[string]int{} // number of tasks still to be stopped, by waiting job
 	for machineID, entry := range c.preemptions {
-		waitingJob := c.jobs.Open[entry.job]
+		waitingJob := c.jobs.OpenJobs[entry.job]
 		if machineByID[machineID] == nil || waitingJob == nil || waitingJob.Cancelled || waitingJob.WaitingCount() <= 0 || c.now.Steady > entry.expiresAt {
 			delete(c.preemptions, machineID)
 			continue
@@ -51,7 +51,7 @@
 	for machineID, entry := range c.preemptions {
 		// A gang needs all of its machines at once; other jobs can use each machine as it is
 		// freed.
-		if tasksLeft[entry.job] == 0 || len(entry.tasks) == 0 && !c.jobs.Open[entry.job].Gang {
+		if tasksLeft[entry.job] == 0 || len(entry.tasks) == 0 && !c.jobs.OpenJobs[entry.job].Gang {
 			delete(c.preemptions, machineID) // the allocation run that follows places the job here
 			continue
 		}
@@ -74,17 +74,17 @@
 	}
 	candidates, tasks := c.preemptibleTasks(machines)
 	maxPreemptions := 1 + int(limits.MaxPreemptShare*float64(len(machines)))
-	for _, chosen := range allocation.Preempt(round.teams, machines, candidates, pendingPreemptions, maxPreemptions) {
+	for _, plannedPreemption := range allocation.Preempt(round.teams, machines, candidates, pendingPreemptions, maxPreemptions) {
 		attempts := map[string]uint64{}
 		saveS := 0.0
-		for _, victim := range chosen.Victims {
+		for _, victim := range plannedPreemption.Victims {
 			ref := tasks[victim.ID]
 			attempts[jobs.TaskID(ref.job.ID, ref.task)] = ref.job.Assigned[ref.task].Attempt
 			saveS = max(saveS, ref.job.SaveS)
 		}
-		c.preemptions[chosen.Machine.ID] = &preemption{job: chosen.Unit.Job, tasks: attempts,
+		c.preemptions[plannedPreemption.Machine.ID] = &preemption{job: plannedPreemption.Unit.Job, tasks: attempts,
 			expiresAt: steadyNow + 2*c.pool.HeartbeatInterval + limits.Seconds(saveS) + limits.PreemptSlack}
-		c.log(slog.LevelDebug, "room claimed", "job", chosen.Unit.Job, "machine", chosen.Machine.ID, "tasks", len(attempts))
+		c.log(slog.LevelDebug, "room claimed", "job", plannedPreemption.Unit.Job, "machine", plannedPreemption.Machine.ID, "tasks", len(attempts))
 	}
 }
 
@@ -94,7 +94,7 @@
 	found := false
 	for _, team := range round.teams {
 		for _, unit := range team.Units {
-			if job := c.jobs.Open[unit.Job]; job == nil || job.Faulty() {
+			if job := c.jobs.OpenJobs[unit.Job]; job == nil || job.Faulty() {
 				pendingPreemptions[unit.Job] = unit.Count
 				continue
 			}
@@ -113,14 +113,14 @@
 		machineByID[machine.ID] = machine
 	}
 	for _, job := range c.sortedJobs() {
-		if job.CheckpointS <= 0 || job.Gang || job.Cancelled || c.jobs.Open[job.ID] != job {
+		if job.CheckpointS <= 0 || job.Gang || job.Cancelled || c.jobs.OpenJobs[job.ID] != job {
 			continue
 		}
 		for _, task := range job.AssignedTasks() {
 			assignment := job.Assigned[task]
 			machine := machineByID[assignment.Machine]
-			tooShort := c.now.Steady-assignment.RunningSince < limits.PreemptMinRun
-			if assignment.State != jobs.Running || tooShort || machine == nil || c.preemptions[assignment.Machine] != nil {
+			startedRecently := c.now.Steady-assignment.RunningSince < limits.PreemptMinRun
+			if assignment.State != jobs.Running || startedRecently || machine == nil || c.preemptions[assignment.Machine] != nil {
 				continue
 			}
 			candidates = append(candidates, allocation.Preemptible{ID: len(tasks), Team: job.Team, Machine: machine, Need: taskResources(job), LowPriority: job.Urgency == wire.UrgencyLow})
--- a/internal/controller/process_cluster_test.go
+++ b/internal/controller/process_cluster_test.go
@@ -308,15 +308,15 @@
 	start := time.Now()
 	for deadline := start.Add(waitLimit); ; time.Sleep(50 * time.Millisecond) {
 		var broken []string
-		held := false
+		conditionHeld := false
 		c.live.do(func() {
 			broken = append(broken, c.live.sim.violations...)
-			held = condition(c.live.sim)
+			conditionHeld = condition(c.live.sim)
 		})
 		if len(broken) > 0 {
 			c.t.Fatalf("%s: rules broken: %v", what, broken)
 		}
-		if held {
+		if conditionHeld {
 			c.t.Logf("%s: after %.1f s", what, time.Since(start).Seconds())
 			return
 		}
--- a/internal/controller/process_soak_test.go
+++ b/internal/controller/process_soak_test.go
@@ -152,7 +152,7 @@
 	c.t.Helper()
 	c.live.do(func() {
 		sim := c.live.sim
-		recording := history.Recording{Completed: map[string]time.Duration{}, CancelWithin: time.Duration(sim.cfg.cancelS * float64(time.Second))}
+		recording := history.Recording{CompletedAt: map[string]time.Duration{}, CancelWithin: time.Duration(sim.cfg.cancelS * float64(time.Second))}
 		for _, machine := range sim.machines {
 			machine.checkLease()
 			for _, task := range machine.tasks {
@@ -173,16 +173,16 @@
 		}
 		for id, job := range c.live.sim.jobs {
 			if job.doneCount == job.taskCount {
-				recording.Completed[id] = job.completedAt
+				recording.CompletedAt[id] = job.completedAt
 			}
 		}
 		for _, violation := range history.Check(recording) {
 			c.t.Errorf("rule broken: %v", violation)
 		}
-		cancelled, changes := 0, 0
+		cancelledCount, changes := 0, 0
 		for _, job := range sim.jobs {
 			if job.reportedState == wire.StatusCancelled {
-				cancelled++
+				cancelledCount++
 			}
 		}
 		for _, event := range sim.store.history {
@@ -190,7 +190,7 @@
 				changes++
 			}
 		}
-		c.t.Logf("%d requests of users, %d starts, %d jobs cancelled, %d changes of owner, %d machines", len(recording.Exchanges), sim.taskStarts, cancelled, changes, len(sim.machines))
+		c.t.Logf("%d requests of users, %d starts, %d jobs cancelled, %d changes of owner, %d machines", len(recording.Exchanges), sim.taskStarts, cancelledCount, changes, len(sim.machines))
 	})
 }
 
@@ -260,15 +260,15 @@
 
 // endExpired ends the faults whose time is over, or all faults.
 func (f *processFaults) endExpired(all bool) {
-	remaining := f.active[:0]
+	remainingFaults := f.active[:0]
 	for _, fault := range f.active {
 		if all || !time.Now().Before(fault.endsAt) {
 			fault.end()
 		} else {
-			remaining = append(remaining, fault)
+			remainingFaults = append(remainingFaults, fault)
 		}
 	}
-	f.active = remaining
+	f.active = remainingFaults
 }
 
 // endAll ends all faults. Afterwards processes, links and machines work without faults.
@@ -335,7 +335,7 @@
 	f.logf("a third of the machines for %.1f s: %s", seconds, []string{"hang", "outbound messages lost", "inbound messages lost"}[kind])
 	duration := time.Duration(seconds * float64(time.Second))
 	f.cluster.live.do(func() {
-		for _, machine := range sim.created {
+		for _, machine := range sim.createdMachines {
 			if !machine.up || machine.gone || !sim.chance(1.0/3) {
 				continue
 			}
--- a/internal/controller/renewals.go
+++ b/internal/controller/renewals.go
@@ -22,9 +22,10 @@
 	Stopping  int // of the renewals: with stops of cancelled tasks
 	Withheld  int // refused: an order may start a cancelled task, and the lease would end too late
 	// FenceHeld counts the heartbeats whose answer waited until the worker had seen this owner's
-	// fencing token, since an earlier owner's order may start a cancelled task. Fenced of them were
-	// then answered with 200, and NotFenced were refused. FenceOrders counts the fences that were
-	// sent for them, and FenceLeases the machines whose lease ended after such a refusal.
+	// fencing token, since an earlier owner's order may start a cancelled task. Fenced counts
+	// those of the heartbeats that were then answered with 200, and NotFenced those that were refused.
+	// FenceOrders counts the fences that were sent for these heartbeats, and FenceLeases the machines
+	// whose lease ended after such a refusal.
 	FenceHeld, Fenced, NotFenced, FenceOrders, FenceLeases int
 	// Violations counts the answers that would have left a cancelled task running. Each is a bug in
 	// this program.
@@ -88,7 +89,7 @@
 }
 
 // countRenewal counts a renewal, and logs it if it stops tasks or is limited in time.
-func (c *Core) countRenewal(machine *workers.Machine, verdict workers.Verdict, decision authority.Decision, stopped []authority.Attempt) {
+func (c *Core) countRenewal(machine *workers.Machine, verdict workers.Verdict, decision authority.Decision, stoppedAttempts []authority.Attempt) {
 	switch verdict {
 	case workers.Unproven:
 		c.renewalCounts.Unproven++
@@ -97,9 +98,9 @@
 	default:
 		c.renewalCounts.Current++
 	}
-	if len(stopped) > 0 {
+	if len(stoppedAttempts) > 0 {
 		c.renewalCounts.Stopping++
-		c.log(slog.LevelDebug, "tasks stopped", "machine", machine.ID, "stops", len(stopped), "first", stopped[0].String())
+		c.log(slog.LevelDebug, "tasks stopped", "machine", machine.ID, "stops", len(stoppedAttempts), "first", stoppedAttempts[0].String())
 	}
 	if decision.Reason == authority.InTime {
 		c.renewalCounts.Bounded++
@@ -155,7 +156,7 @@
 			continue
 		}
 		jobID, task := jobs.SplitTaskID(status.Task)
-		if job := c.jobs.Open[jobID]; job == nil || job.Cancelled || task < 0 || task >= job.Tasks {
+		if job := c.jobs.OpenJobs[jobID]; job == nil || job.Cancelled || task < 0 || task >= job.Tasks {
 			attempts = append(attempts, authority.Attempt{Task: status.Task, Number: status.Attempt})
 		}
 	}
@@ -200,7 +201,7 @@
 // at which the cancellation can have been confirmed to a user. A job that is neither open nor done
 // counts as cancelled, with a confirmation at any time in the past.
 func (c *Core) orderCancellation(jobID string, order *workers.Order) (confirmedAfter time.Duration, cancelled bool) {
-	if job := c.jobs.Open[jobID]; job != nil {
+	if job := c.jobs.OpenJobs[jobID]; job != nil {
 		return job.CancelConfirmedAfter, job.Cancelled
 	}
 	if c.jobs.IsDone(jobID) {
--- a/internal/controller/rental_plan.go
+++ b/internal/controller/rental_plan.go
@@ -44,13 +44,13 @@
 // full capacity.
 func (c *Core) bootingMachines() []*allocation.Machine {
 	var machines []*allocation.Machine
-	booting := c.fleet.CountBooting()
-	for _, kind := range sortedKinds(booting) {
+	bootingCounts := c.fleet.CountBooting()
+	for _, kind := range sortedKinds(bootingCounts) {
 		machineType := c.fleet.Types[kind.Class]
 		if _, owned := c.activeTerms[kind.Class]; !owned || machineType == nil {
 			continue
 		}
-		for range booting[kind] {
+		for range bootingCounts[kind] {
 			machines = append(machines, &allocation.Machine{Class: kind.Class, Zone: kind.Zone, Spot: kind.Spot, Free: typeCapacity(machineType)})
 		}
 	}
@@ -70,39 +70,39 @@
 // planRentals plans rentals for a team's units that fit on no existing machine, within the
 // team's limit.
 func (c *Core) planRentals(plan *rentalPlan, team *allocation.Team, shortfallByJob map[string]shortfall) {
-	total := team.Unknown
-	for _, booked := range team.Booked {
-		total = total.Add(booked, 1)
+	teamTotal := team.UnknownUse
+	for _, allocated := range team.Allocated {
+		teamTotal = teamTotal.Add(allocated, 1)
 	}
 	for _, unit := range team.Units {
-		if job := c.jobs.Open[unit.Job]; job == nil || job.Faulty() {
+		if job := c.jobs.OpenJobs[unit.Job]; job == nil || job.Faulty() {
 			continue
 		}
 		plan.firstWithRoom = 0
 		if unit.Gang {
 			gangTotal := (allocation.Resources{}).Add(unit.Need, float64(unit.Count))
-			if withinTeamLimit(team, total, gangTotal) && c.placeGangOnRentals(unit, plan) {
-				total = total.Add(gangTotal, 1)
+			if withinTeamLimit(team, teamTotal, gangTotal) && c.placeGangOnRentals(unit, plan) {
+				teamTotal = teamTotal.Add(gangTotal, 1)
 			}
 		} else {
-			total = c.planTaskRentals(plan, team, unit, total, shortfallByJob[unit.Job])
+			teamTotal = c.planTaskRentals(plan, team, unit, teamTotal, shortfallByJob[unit.Job])
 		}
 	}
 }
 
-// planTaskRentals plans rentals for one unit's tasks. It returns total, the resources that the
+// planTaskRentals plans rentals for one unit's tasks. It returns teamTotal, the resources that the
 // team uses, plus those of the tasks placed on rentals.
-func (c *Core) planTaskRentals(plan *rentalPlan, team *allocation.Team, unit *allocation.Unit, total allocation.Resources, missing shortfall) allocation.Resources {
-	for ; unit.Count > 0 && withinTeamLimit(team, total, unit.Need); unit.Count-- {
-		if !c.placeOnRentals(unit, missing, plan) {
-			if plan.rentedCPUs < missing.onTime {
+func (c *Core) planTaskRentals(plan *rentalPlan, team *allocation.Team, unit *allocation.Unit, teamTotal allocation.Resources, jobShortfall shortfall) allocation.Resources {
+	for ; unit.Count > 0 && withinTeamLimit(team, teamTotal, unit.Need); unit.Count-- {
+		if !c.placeOnRentals(unit, jobShortfall, plan) {
+			if plan.rentedCPUs < jobShortfall.onTime {
 				plan.refusedUnits = append(plan.refusedUnits, unit)
 			}
 			break
 		}
-		total = total.Add(unit.Need, 1)
+		teamTotal = teamTotal.Add(unit.Need, 1)
 	}
-	return total
+	return teamTotal
 }
 
 // withinTeamLimit reports whether a team's limit allows it to use more on top of total.
@@ -142,8 +142,8 @@
 			if job.Spot {
 				capacityCPUs += classCPUs[1]
 			}
-			if t := c.fleet.Types[class]; t != nil {
-				bootS = min(bootS, t.BootS)
+			if machineType := c.fleet.Types[class]; machineType != nil {
+				bootS = min(bootS, machineType.BootS)
 			}
 		}
 		secondsLeft, canMeetTarget := c.timeLeft(job)
@@ -151,8 +151,8 @@
 			secondsLeft = limits.RentHorizon.Seconds()
 		}
 		additionalCPUs := func(share float64) float64 {
-			t := max(secondsLeft*share-job.EstimateS/2, bootS+limits.MinUsefulRental.Seconds())
-			return (workBefore - capacityCPUs*t) / (t - bootS)
+			availableS := max(secondsLeft*share-job.EstimateS/2, bootS+limits.MinUsefulRental.Seconds())
+			return (workBefore - capacityCPUs*availableS) / (availableS - bootS)
 		}
 		result[job.ID] = shortfall{withMargin: additionalCPUs(limits.FinishWithMarginShare), onTime: additionalCPUs(limits.FinishOnTimeShare)}
 	}
@@ -216,12 +216,12 @@
 		if _, owned := c.activeTerms[class]; !owned || scarceClasses[class] {
 			continue
 		}
-		movable := c.movableCPUs(class, scarceClasses, machines)
+		movableCPUs := c.movableCPUs(class, scarceClasses, machines)
 		for _, zone := range machineType.Zones {
 			kind := fleet.Kind{Class: class, Zone: zone, Spot: true}
-			for len(plan.rentals) < limits.MaxPlannedRentals && min(movable, lackedCPUs) >= machineType.CPUs && c.operator.SpotAllowed() && c.fleet.Available(kind) {
+			for len(plan.rentals) < limits.MaxPlannedRentals && min(movableCPUs, lackedCPUs) >= machineType.CPUs && c.operator.SpotAllowed() && c.fleet.Available(kind) {
 				plan.addRental(kind, allocation.Resources{})
-				movable -= machineType.CPUs
+				movableCPUs -= machineType.CPUs
 				lackedCPUs -= machineType.CPUs
 			}
 		}
@@ -233,7 +233,7 @@
 // machines of the given class, the idle machines of that class are marked to be kept.
 func (c *Core) movableCPUs(class string, scarceClasses map[string]bool, machines []*allocation.Machine) float64 {
 	movable := 0.0
-	for _, job := range c.jobs.Open {
+	for _, job := range c.jobs.OpenJobs {
 		if !job.Active || !job.TypeSet[class] || job.Cancelled || !job.Spot {
 			continue
 		}
@@ -256,7 +256,7 @@
 // it plans the cheapest suitable machine, provided the job's shortfall justifies it. Spot machines
 // are rented to finish with a margin. On-demand machines are rented only to finish just on time,
 // or with a margin if the unit may not use spot machines.
-func (c *Core) placeOnRentals(unit *allocation.Unit, missing shortfall, plan *rentalPlan) bool {
+func (c *Core) placeOnRentals(unit *allocation.Unit, jobShortfall shortfall, plan *rentalPlan) bool {
 	if plan.place(unit) {
 		return true
 	}
@@ -264,7 +264,7 @@
 		return false
 	}
 	kind, ok := c.cheapestKind(unit, func(spot bool) bool {
-		return plan.rentedCPUs < missing.withMargin && (spot || !unit.Spot || plan.rentedCPUs < missing.onTime)
+		return plan.rentedCPUs < jobShortfall.withMargin && (spot || !unit.Spot || plan.rentedCPUs < jobShortfall.onTime)
 	})
 	if !ok {
 		return false
@@ -276,10 +276,10 @@
 }
 
 // cheapestKind returns the kind of machine with the lowest price per task among the kinds that
-// the unit may use and the cloud can provide. allowed reports whether spot or on-demand machines
+// the unit may use and the cloud can provide. mayRent reports whether spot or on-demand machines
 // may be rented.
-func (c *Core) cheapestKind(unit *allocation.Unit, allowed func(spot bool) bool) (best fleet.Kind, ok bool) {
-	cost := 0.0
+func (c *Core) cheapestKind(unit *allocation.Unit, mayRent func(spot bool) bool) (best fleet.Kind, ok bool) {
+	lowestPrice := 0.0
 	for _, class := range c.fleet.Classes() {
 		if !unit.Classes[class] {
 			continue
@@ -287,11 +287,11 @@
 		machineType := c.fleet.Types[class]
 		tasks := max(1, unit.Need.CountIn(typeCapacity(machineType)))
 		for _, kind := range c.kindsFor(unit, machineType) {
-			if !allowed(kind.Spot) {
+			if !mayRent(kind.Spot) {
 				continue
 			}
-			if price := c.fleet.Price(kind) / float64(tasks); !ok || price < cost {
-				best, cost, ok = kind, price, true
+			if price := c.fleet.Price(kind) / float64(tasks); !ok || price < lowestPrice {
+				best, lowestPrice, ok = kind, price, true
 			}
 		}
 	}
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -76,7 +76,7 @@
 			}
 		}
 		restartMost := func() {
-			for _, machine := range sim.created {
+			for _, machine := range sim.createdMachines {
 				if sim.chance(0.7) {
 					sim.schedule(sim.randomDuration(0, 0.5), machine.restart)
 				}
@@ -96,21 +96,21 @@
 			sim := simulate(nodes, uint64(nodes), nil)
 			sim.faultsEndedAt = sim.now
 			sim.run(115 * time.Second)
-			up, served := 0, 0
+			upCount, servedCount := 0, 0
 			owner := sim.owner()
 			if owner == nil {
 				t.Fatal("no controller owns the class")
 			}
-			for _, machine := range sim.created {
+			for _, machine := range sim.createdMachines {
 				if machine.up && !machine.gone {
-					up++
+					upCount++
 					if record := owner.core.pool.Machines[machine.id]; record != nil && record.Adopted {
-						served++
+						servedCount++
 					}
 				}
 			}
-			if up < 250 || float64(served) < 0.9*float64(up) {
-				t.Errorf("of %d machines %d are served 25 s after the last fault", up, served)
+			if upCount < 250 || float64(servedCount) < 0.9*float64(upCount) {
+				t.Errorf("of %d machines %d are served 25 s after the last fault", upCount, servedCount)
 			}
 			sim.run(260 * time.Second)
 			sim.mustKeepRules(t)
@@ -120,7 +120,7 @@
 	t.Run("guard out", func(t *testing.T) {
 		t.Parallel()
 		sim := simulate(3, 1, func(core *Core) {
-			for _, job := range core.jobs.Open {
+			for _, job := range core.jobs.OpenJobs {
 				job.Frozen = false
 			}
 		})
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -25,34 +25,34 @@
 // machines whose running tasks are unknown.
 func (c *Core) availableMachines(forFleetPlan bool) (machines []*allocation.Machine, capacity map[string]allocation.Resources, unresolvedCapacity allocation.Resources) {
 	capacity = map[string]allocation.Resources{}
-	sorted := c.pool.Sorted()
-	machines = make([]*allocation.Machine, 0, len(sorted))
-	onDemand := make([]*allocation.Machine, 0, len(sorted))
+	sortedMachines := c.pool.Sorted()
+	machines = make([]*allocation.Machine, 0, len(sortedMachines))
+	onDemandMachines := make([]*allocation.Machine, 0, len(sortedMachines))
 	machineCounts := map[*wire.MachineType]float64{}
-	for _, machine := range sorted {
+	for _, machine := range sortedMachines {
 		machineType := c.fleet.Types[machine.Class]
 		if machineType == nil {
 			continue
 		}
-		recorded := c.machineRecords[machine.ID].Up
-		if recorded && !machine.Resolved() {
+		recordedUp := c.machineRecords[machine.ID].Up
+		if recordedUp && !machine.Resolved() {
 			unresolvedCapacity = unresolvedCapacity.Add(typeCapacity(machineType), 1)
 		}
 		if machine.Adopted && !machine.LeaseExpired {
 			machineCounts[machineType]++
 		}
-		if !machine.Usable(c.now.Steady, c.pool.HeartbeatInterval) || (!recorded && !forFleetPlan) {
+		if !machine.Usable(c.now.Steady, c.pool.HeartbeatInterval) || (!recordedUp && !forFleetPlan) {
 			continue
 		}
 		view := c.machineView(machine, machineType)
 		if forFleetPlan { // fleet planning must not modify the views that placement uses
-			copied := *view
-			view = &copied
+			viewCopy := *view
+			view = &viewCopy
 		}
 		if machine.Spot {
 			machines = append(machines, view)
 		} else {
-			onDemand = append(onDemand, view)
+			onDemandMachines = append(onDemandMachines, view)
 		}
 	}
 	for machineType, count := range machineCounts {
@@ -60,7 +60,7 @@
 	}
 	// Spot machines come first because they are cheaper: the more expensive on-demand machines
 	// become idle and can be returned to the cloud.
-	return append(machines, onDemand...), capacity, unresolvedCapacity
+	return append(machines, onDemandMachines...), capacity, unresolvedCapacity
 }
 
 // machineView refreshes and returns the allocation's view of a machine.
@@ -70,11 +70,11 @@
 	return &load.view
 }
 
-// teamDemands builds the teams' part of the allocation's input: their booked resources and
+// teamDemands builds the teams' part of the allocation's input: their allocated resources and
 // the units that may start now. For fleet planning (forFleetPlan) it also includes units whose
 // start is delayed.
 func (c *Core) teamDemands(forFleetPlan bool, unresolvedCapacity allocation.Resources) []*allocation.Team {
-	teams := c.bookedTeams(unresolvedCapacity)
+	teams := c.teamAllocations(unresolvedCapacity)
 	byName := map[string]*allocation.Team{}
 	for _, team := range teams {
 		byName[team.Name] = team
@@ -95,34 +95,34 @@
 	return teams
 }
 
-// bookedTeams returns the teams with their limits, their booked resources, and an upper bound
+// teamAllocations returns the teams with their limits, their allocated resources, and an upper bound
 // on the resources of their tasks whose location is unknown.
-func (c *Core) bookedTeams(unresolvedCapacity allocation.Resources) []*allocation.Team {
+func (c *Core) teamAllocations(unresolvedCapacity allocation.Resources) []*allocation.Team {
 	var teams []*allocation.Team
 	byName := map[string]*allocation.Team{}
 	for _, teamSettings := range c.settings.Cluster.Teams {
-		team := &allocation.Team{Name: teamSettings.Name, Booked: c.bookedByClass(teamSettings.Name), MaxCPUs: teamSettings.CPUsMax, MaxGPUs: teamSettings.GPUsMax,
+		team := &allocation.Team{Name: teamSettings.Name, Allocated: c.allocatedByClass(teamSettings.Name), MaxCPUs: teamSettings.CPUsMax, MaxGPUs: teamSettings.GPUsMax,
 			Guarantee: allocation.Resources{CPUs: teamSettings.CPUs, GPUs: teamSettings.GPUs}}
 		byName[teamSettings.Name] = team
 		teams = append(teams, team)
 	}
 	hasRemoteJobs := map[string]bool{} // teams with jobs that other controllers own
-	for _, job := range c.jobs.Open {
+	for _, job := range c.jobs.OpenJobs {
 		team := byName[job.Team]
 		if team == nil {
 			continue
 		}
 		hasRemoteJobs[job.Team] = hasRemoteJobs[job.Team] || !job.Active
 		if job.MayHaveLaunched() && (job.Frozen || !job.Active) {
-			team.Unknown = team.Unknown.Add(taskResources(job), float64(job.WaitingCount()))
+			team.UnknownUse = team.UnknownUse.Add(taskResources(job), float64(job.WaitingCount()))
 		}
 	}
 	for _, team := range teams {
 		// If this controller owns all of the team's jobs, their tasks of unknown location can
 		// use no more than the capacity of the unresolved machines.
 		if !hasRemoteJobs[team.Name] {
-			team.Unknown.CPUs = min(team.Unknown.CPUs, unresolvedCapacity.CPUs)
-			team.Unknown.GPUs = min(team.Unknown.GPUs, unresolvedCapacity.GPUs)
+			team.UnknownUse.CPUs = min(team.UnknownUse.CPUs, unresolvedCapacity.CPUs)
+			team.UnknownUse.GPUs = min(team.UnknownUse.GPUs, unresolvedCapacity.GPUs)
 		}
 	}
 	return teams
@@ -131,7 +131,7 @@
 // mayStart reports whether a job has waiting tasks that may start now. For fleet planning
 // (forFleetPlan), tasks whose start is delayed count as well.
 func (c *Core) mayStart(job *jobs.Job, forFleetPlan bool) bool {
-	if job.WaitingCount() <= 0 || job.Cancelled || job.Frozen || c.jobs.Open[job.ID] != job {
+	if job.WaitingCount() <= 0 || job.Cancelled || job.Frozen || c.jobs.OpenJobs[job.ID] != job {
 		return false
 	}
 	return forFleetPlan || job.Prepared && c.now.Steady >= job.NotBefore
@@ -196,7 +196,7 @@
 // largestUnits returns, by class, the largest unit that unfinished jobs may request.
 func (c *Core) largestUnits() map[string]allocation.Resources {
 	largest := map[string]allocation.Resources{}
-	for _, job := range c.jobs.Open {
+	for _, job := range c.jobs.OpenJobs {
 		request := taskResources(job)
 		for _, class := range job.Types {
 			if current := largest[class]; request.CPUs > current.CPUs || (request.CPUs == current.CPUs && (request.GPUs > current.GPUs || request.GPUs == current.GPUs && request.Memory > current.Memory)) {
@@ -230,7 +230,7 @@
 	c.reserveForGangs(machines)
 	newRound := &schedulingRound{teams: c.teamDemands(false, unresolvedCapacity), capacity: capacity, largest: c.largestUnits()}
 	c.lastRound = newRound
-	newRound.reservedMachines = allocation.ReserveForOverdue(newRound.teams, machines, 1+int(limits.MaxHeldShare*float64(len(machines))))
+	newRound.reservedMachines = allocation.ReserveForOverdue(newRound.teams, machines, 1+int(limits.MaxReservedShare*float64(len(machines))))
 	pendingPreemptions := c.reservePreemptedMachines(machines, newRound.reservedMachines)
 	c.runAllocation(newRound, machines)
 	c.preemptBorrowedResources(newRound, machines, pendingPreemptions)
@@ -241,15 +241,15 @@
 // in the order of their IDs, because the records that share a key must not depend on map
 // iteration order.
 func (c *Core) prepareJobs() {
-	var waiting []string
-	for id, job := range c.jobs.Open {
+	var jobIDs []string
+	for id, job := range c.jobs.OpenJobs {
 		if job.Active && !job.Prepared && !job.Frozen && !job.Cancelled {
-			waiting = append(waiting, id)
+			jobIDs = append(jobIDs, id)
 		}
 	}
-	slices.Sort(waiting)
-	for _, id := range waiting {
-		c.jobs.Prepare(c.jobs.Open[id])
+	slices.Sort(jobIDs)
+	for _, id := range jobIDs {
+		c.jobs.Prepare(c.jobs.OpenJobs[id])
 	}
 }
 
@@ -260,15 +260,15 @@
 	if c.lastRound == nil || c.lastRound.reservedMachines[machine.ID] || machineType == nil || !c.machineRecords[machine.ID].Up || !machine.Usable(c.now.Steady, c.pool.HeartbeatInterval) {
 		return
 	}
-	waiting := false
+	anyWaiting := false
 	for _, team := range c.lastRound.teams {
-		waiting = waiting || len(team.Units) > 0
+		anyWaiting = anyWaiting || len(team.Units) > 0
 	}
-	if !waiting {
+	if !anyWaiting {
 		return
 	}
 	for _, team := range c.lastRound.teams {
-		team.Booked = c.bookedByClass(team.Name)
+		team.Allocated = c.allocatedByClass(team.Name)
 	}
 	c.runAllocation(c.lastRound, []*allocation.Machine{c.machineView(machine, machineType)})
 }
@@ -277,7 +277,7 @@
 func (c *Core) runAllocation(round *schedulingRound, machines []*allocation.Machine) {
 	gangs := map[string][]*allocation.Machine{}
 	for _, placement := range allocation.Run(round.teams, machines, round.capacity, round.largest) {
-		job := c.jobs.Open[placement.Unit.Job]
+		job := c.jobs.OpenJobs[placement.Unit.Job]
 		// The job may have changed since the round was built.
 		if job == nil || job.Cancelled || job.Frozen || !job.Active || !job.Prepared {
 			continue
--- a/internal/controller/server.go
+++ b/internal/controller/server.go
@@ -184,9 +184,9 @@
 	for _, output := range outputs {
 		switch action := output.(type) {
 		case Answer:
-			if waiting := s.pendingAnswers[action.Ref]; waiting != nil {
+			if answers := s.pendingAnswers[action.Ref]; answers != nil {
 				delete(s.pendingAnswers, action.Ref)
-				waiting <- action
+				answers <- action
 			}
 		case Log:
 			s.writeLog(action)
@@ -222,9 +222,9 @@
 		if fault := recover(); fault != nil {
 			s.log.Error("fault in the core, starting it afresh", "fault", fmt.Sprint(fault), "stack", string(debug.Stack()))
 			s.core = NewCore(s.settings, s.core.operator, s.now(), rand.Uint64()>>1|1)
-			for ref, waiting := range s.pendingAnswers {
+			for ref, answers := range s.pendingAnswers {
 				delete(s.pendingAnswers, ref)
-				waiting <- Answer{Ref: ref, Status: 503, RetryAfter: limits.RetryAfterS}
+				answers <- Answer{Ref: ref, Status: 503, RetryAfter: limits.RetryAfterS}
 			}
 			outputs = nil
 		}
@@ -251,14 +251,14 @@
 }
 
 // enqueueAndWait puts an input into a queue and waits for its answer. queueTimeout bounds the wait for
-// room in the queue, answerTimeout the wait for the answer after that. The second result is false if a
+// room in the queue, answerTimeout the later wait for the answer. The second result is false if a
 // timeout expires or the server stops.
 func (s *Server) enqueueAndWait(ctx context.Context, queue chan inboxEvent, newInput func(ref uint64) Input, queueTimeout, answerTimeout time.Duration) (Answer, bool) {
-	received := make(chan Answer, 1)
+	answers := make(chan Answer, 1)
 	timer := time.NewTimer(queueTimeout)
 	defer timer.Stop()
 	select {
-	case queue <- inboxEvent{newInput: newInput, answer: received, ctx: ctx}:
+	case queue <- inboxEvent{newInput: newInput, answer: answers, ctx: ctx}:
 	case <-timer.C:
 		return Answer{}, false
 	case <-s.ctx.Done():
@@ -266,7 +266,7 @@
 	}
 	timer.Reset(answerTimeout)
 	select {
-	case answer := <-received:
+	case answer := <-answers:
 		return answer, true
 	case <-timer.C:
 		return Answer{}, false
--- a/internal/controller/silence.go
+++ b/internal/controller/silence.go
@@ -39,13 +39,13 @@
 // classes that it doesn't own, or "" if there was none lately. Workers of this node's classes can
 // probably reach that peer.
 func (c *Core) reachableSuccessor() string {
-	best := ""
+	bestPeer := ""
 	for _, peer := range c.settings.Others {
-		if at, ok := c.foreignArrivals[peer.Label]; ok && c.now.Steady-at < limits.ForeignArrivalMaxAge && (best == "" || at > c.foreignArrivals[best]) {
-			best = peer.Label
+		if at, ok := c.foreignArrivals[peer.Label]; ok && c.now.Steady-at < limits.ForeignArrivalMaxAge && (bestPeer == "" || at > c.foreignArrivals[bestPeer]) {
+			bestPeer = peer.Label
 		}
 	}
-	return best
+	return bestPeer
 }
 
 // workersUnreachable reports whether no worker reaches this owner any more, although enough of its
@@ -86,32 +86,32 @@
 // deleted machine may be impossible to replace. Without this check, an owner would return half the fleet
 // to the cloud 11 s into such a silence.
 func (c *Core) isMassSilence() bool {
-	total, silent := 0, 0
+	machineCount, silentCount := 0, 0
 	for _, machine := range c.pool.Machines {
 		if machine.Spot || machine.Deleting {
 			continue
 		}
-		total++
+		machineCount++
 		if c.silenceDuration(machine) > c.pool.HeartbeatInterval*5/4+limits.TakeoverSlack {
-			silent++
+			silentCount++
 		}
 	}
-	return silent >= limits.MassSilenceMinMachines && float64(silent) > limits.MassSilenceShare*float64(total)
+	return silentCount >= limits.MassSilenceMinMachines && float64(silentCount) > limits.MassSilenceShare*float64(machineCount)
 }
 
 // mostMachinesReported reports whether most machines that an earlier owner recorded as up have
-// reported to this owner.
+// sent a heartbeat to this owner.
 func (c *Core) mostMachinesReported() bool {
-	total, reported := 0, 0
+	machineCount, reportedCount := 0, 0
 	for machineID, machine := range c.pool.Machines {
 		if c.machineRecords[machineID].Up {
-			total++
+			machineCount++
 			if machine.Term != 0 {
-				reported++
+				reportedCount++
 			}
 		}
 	}
-	return float64(reported) >= limits.TakeoverReportedShare*float64(total)
+	return float64(reportedCount) >= limits.TakeoverReportedShare*float64(machineCount)
 }
 
 // presumedDead reports whether a silent machine is to be deleted. The deletion proves sooner than the
--- a/internal/controller/simulation_gangs_test.go
+++ b/internal/controller/simulation_gangs_test.go
@@ -37,7 +37,7 @@
 	if gang == nil {
 		gang = &simGang{sim: sim, key: key, members: map[string]*simMember{}, saved: map[string]bool{}}
 		sim.gangs[key] = gang
-		gang.monitor()
+		gang.enforcePeerTime()
 	}
 	gang.members[task.id] = &simMember{machine, task}
 	sim.schedule(time.Duration(sim.cfg.gangWaitS*float64(time.Second)), func() {
@@ -112,24 +112,24 @@
 	}
 }
 
-// monitor ends the remaining tasks of a started gang within the gang peer time after the loss of a
+// enforcePeerTime ends the remaining tasks of a started gang within the gang peer time after the loss of a
 // task. It also ends them if not all tasks have saved within the gang peer time after the first
 // stop.
-func (g *simGang) monitor() {
+func (g *simGang) enforcePeerTime() {
 	if g.ended {
 		return
 	}
 	if g.started {
-		alive, lost := 0, false
+		aliveCount, memberLost := 0, false
 		for _, member := range g.members {
 			if !member.machine.gone && member.machine.tasks[member.task.id] == member.task && member.task.state != wire.TaskEnded {
-				alive++ // a hanging machine may resume
+				aliveCount++ // a hanging machine may resume
 			}
 			if !member.isActive() && (member.task.state != wire.TaskEnded || member.task.cause != wire.CauseHalted || g.saveRequestedAt == 0) {
-				lost = true
+				memberLost = true
 			}
 		}
-		if lost && g.lossDetectedAt == 0 {
+		if memberLost && g.lossDetectedAt == 0 {
 			g.lossDetectedAt = g.sim.now + g.sim.randomDuration(0.1, g.sim.cfg.gangPeerS)
 		}
 		saveTimedOut := g.saveRequestedAt > 0 && g.sim.now > g.saveRequestedAt+time.Duration(g.sim.cfg.gangPeerS*float64(time.Second)) && len(g.saved) < len(g.members)
@@ -145,11 +145,11 @@
 				})
 			}
 		}
-		if alive == 0 {
+		if aliveCount == 0 {
 			g.ended = true
 		}
 	}
-	g.sim.schedule(250*time.Millisecond, g.monitor)
+	g.sim.schedule(250*time.Millisecond, g.enforcePeerTime)
 }
 
 // stopTask stops one task of the gang. If the task runs, its job can save and the grace period is
--- a/internal/controller/simulation_rules_test.go
+++ b/internal/controller/simulation_rules_test.go
@@ -81,8 +81,8 @@
 // injectRandomFaults injects random faults, single and overlapping, until a time. interval is the
 // average time between them in seconds.
 func injectRandomFaults(sim *simulation, interval float64, until time.Duration) {
-	var next func()
-	next = func() {
+	var injectNext func()
+	injectNext = func() {
 		if sim.now > until {
 			return
 		}
@@ -124,13 +124,13 @@
 			sim.cloud.outage = true
 			sim.schedule(sim.randomDuration(5, 20), func() { sim.cloud.outage = false })
 		case 12:
-			other := sim.nodes[(node.index+1)%len(sim.nodes)].label
+			otherEnd := sim.nodes[(node.index+1)%len(sim.nodes)].label
 			if machine != nil && sim.chance(0.5) {
-				other = machine.id
+				otherEnd = machine.id
 			}
-			sim.trace("cut %s %s", node.label, other)
-			sim.setLinkCut(node.label, other, true)
-			sim.schedule(sim.randomDuration(1, 30), func() { sim.trace("cut ended"); sim.setLinkCut(node.label, other, false) })
+			sim.trace("cut %s %s", node.label, otherEnd)
+			sim.setLinkCut(node.label, otherEnd, true)
+			sim.schedule(sim.randomDuration(1, 30), func() { sim.trace("cut ended"); sim.setLinkCut(node.label, otherEnd, false) })
 		case 13, 14:
 			if machine != nil {
 				sim.trace("inbound messages of %s are held back", machine.id)
@@ -183,9 +183,9 @@
 				})
 			}
 		}
-		sim.schedule(sim.randomDuration(0.5*interval, 1.5*interval), next)
+		sim.schedule(sim.randomDuration(0.5*interval, 1.5*interval), injectNext)
 	}
-	sim.schedule(sim.randomDuration(5, 15), next)
+	sim.schedule(sim.randomDuration(5, 15), injectNext)
 }
 
 // mustKeepRules fails the test for each violation of a rule.
@@ -261,14 +261,14 @@
 func TestTakeoverKeepsMachines(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
 		sim := busySimulation(seed)
-		busy := map[string]bool{}
+		busyMachines := map[string]bool{}
 		for id, m := range sim.machines {
 			if m.up && !m.gone && len(m.tasks) > 0 {
-				busy[id] = true
+				busyMachines[id] = true
 			}
 		}
-		if len(busy) < 5 {
-			t.Fatalf("only %d machines are busy", len(busy))
+		if len(busyMachines) < 5 {
+			t.Fatalf("only %d machines are busy", len(busyMachines))
 		}
 		for _, n := range sim.nodes {
 			if n.core != nil && len(n.core.activeTerms) > 0 {
@@ -277,7 +277,7 @@
 		}
 		sim.run(75 * time.Second)
 		sim.mustKeepRules(t)
-		for id := range busy {
+		for id := range busyMachines {
 			if sim.machines[id].gone {
 				t.Errorf("seed %d: %s was returned to the cloud", seed, id)
 			}
@@ -293,7 +293,7 @@
 		injectFault func(*Core)
 	}{
 		{"takeover without waiting", "ran_twice", func(c *Core) {
-			for _, j := range c.jobs.Open {
+			for _, j := range c.jobs.OpenJobs {
 				j.Frozen = false
 			}
 		}},
@@ -303,7 +303,7 @@
 			}
 		}},
 		{"cancellations ignored", "ran_cancelled", func(c *Core) {
-			for _, j := range c.jobs.Open {
+			for _, j := range c.jobs.OpenJobs {
 				j.Cancelled = false
 			}
 		}},
@@ -314,7 +314,7 @@
 			}
 		}},
 		{"completions invented", "not_done", func(core *Core) {
-			for _, job := range core.jobs.Open {
+			for _, job := range core.jobs.OpenJobs {
 				for task, p := range job.Assigned {
 					if p.State >= 3 {
 						job.MarkDone(task)
--- a/internal/controller/simulation_store_test.go
+++ b/internal/controller/simulation_store_test.go
@@ -131,7 +131,7 @@
 	if s.outage {
 		return
 	}
-	var open []*simWatch
+	var openWatches []*simWatch
 	for _, watch := range s.watches {
 		if watch.answered {
 			continue
@@ -141,9 +141,9 @@
 			watch.answer(200, mustEncode(map[string]any{"ledger": s.revision, "news": changes}))
 			continue
 		}
-		open = append(open, watch)
+		openWatches = append(openWatches, watch)
 	}
-	s.watches = open
+	s.watches = openWatches
 }
 
 // changesSince returns the changes after a revision to keys with a prefix.
@@ -334,18 +334,18 @@
 			return 400, mustEncode(wire.ErrorBody{Error: "no such lease"})
 		}
 	}
-	var failed []string
+	var failedKeys []string
 	for _, guard := range txn.Guards {
 		var version uint64
 		if record := s.records[guard.Key]; record != nil {
 			version = record.version
 		}
 		if version != guard.Version {
-			failed = append(failed, guard.Key)
+			failedKeys = append(failedKeys, guard.Key)
 		}
 	}
-	if len(failed) > 0 {
-		return 409, mustEncode(wire.TxnReply{Revision: s.revision, Failed: failed})
+	if len(failedKeys) > 0 {
+		return 409, mustEncode(wire.TxnReply{Revision: s.revision, Failed: failedKeys})
 	}
 	if len(txn.Then) > 0 {
 		s.revision++
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -25,17 +25,17 @@
 	eventQueue   eventHeap
 	lastEventSeq int
 
-	cfg        simConfig
-	nodes      []*simNode
-	store      *simStore
-	cloud      *simCloud
-	machines   map[string]*simMachine
-	created    []*simMachine // machines in the order of creation, which is also the order of their IDs
-	jobs       map[string]*simJob
-	gangs      map[gangKey]*simGang
-	violations []string // descriptions of violated rules
-	taskStarts int
-	taskRuns   []*history.TaskRun // executions of the tasks that belong to no gang, for checks outside the simulation
+	cfg             simConfig
+	nodes           []*simNode
+	store           *simStore
+	cloud           *simCloud
+	machines        map[string]*simMachine
+	createdMachines []*simMachine // machines in the order of creation, which is also the order of their IDs
+	jobs            map[string]*simJob
+	gangs           map[gangKey]*simGang
+	violations      []string // descriptions of violated rules
+	taskStarts      int
+	taskRuns        []*history.TaskRun // executions of the tasks that belong to no gang, for checks outside the simulation
 
 	maxDelayS       float64            // longest delay in seconds of a message that delayedMessageRate does not delay; less than 0.005 means 0.005
 	lateCopyRate    float64            // fraction of heartbeats that are delivered again, 1 s to 2.5 leases later
@@ -460,7 +460,7 @@
 // answerFromMemory answers a status query from the records in memory, without a read of the
 // state service.
 func (n *simNode) answerFromMemory(query Query) Answer {
-	job := n.core.jobs.Open[query.ID]
+	job := n.core.jobs.OpenJobs[query.ID]
 	switch {
 	case job == nil:
 		return Answer{Ref: query.Ref, Status: 404}
--- a/internal/controller/simulation_users_test.go
+++ b/internal/controller/simulation_users_test.go
@@ -37,7 +37,7 @@
 // submitJob adds a job and submits it. In one case in ten it is submitted twice at the same time.
 func (sim *simulation) submitJob(id string, spec map[string]any, runSeconds float64) *simJob {
 	spec["id"] = id
-	fillSubmission(spec)
+	addSubmissionDefaults(spec)
 	job := &simJob{id: id, spec: spec, team: spec["crew"].(string), cores: spec["cores"].(float64), taskCount: int(spec["sheets"].(int)), runSeconds: runSeconds, done: map[int]bool{}, gang: spec["form"] == "gang"}
 	sim.jobs[id] = job
 	body := mustEncode(spec)
@@ -55,7 +55,7 @@
 	id, submission, start := job.id, job.submission, sim.now
 	var submit func()
 	submit = func() {
-		reported := job.reportedState
+		stateBefore := job.reportedState
 		node := sim.nodes[sim.rng.IntN(len(sim.nodes))]
 		sim.call("users", node.label, 5*time.Second, func(answer func(int, []byte)) {
 			node.request(func(ref uint64) Input { return Submit{ref, submission} }, answer)
@@ -66,7 +66,7 @@
 					job.accepted, job.acceptedAt = true, sim.now
 					sim.checkAllNodes(job)
 				}
-				if reported == job.reportedState {
+				if stateBefore == job.reportedState {
 					sim.checkAnswer(job, status, body)
 				}
 				sim.schedule(sim.randomDuration(4, 6), func() { sim.pollStatus(job) })
@@ -82,8 +82,8 @@
 	submit()
 }
 
-// fillSubmission adds default values for the required fields that a test leaves out.
-func fillSubmission(spec map[string]any) {
+// addSubmissionDefaults adds default values for the required fields that a test leaves out.
+func addSubmissionDefaults(spec map[string]any) {
 	for field, value := range map[string]any{"accelerators": 0.0, "plate": "img", "imageGb": 0.5, "oneZone": false, "scatter": false,
 		"loaners": true, "markS": 0.0, "stowS": 0.0} {
 		if _, ok := spec[field]; !ok {
@@ -121,7 +121,7 @@
 // after the call.
 func (sim *simulation) cancelAt(job *simJob, node *simNode, retry func()) {
 	job.cancelRequested = true
-	accepted := job.accepted
+	wasAccepted := job.accepted
 	sim.call("users", node.label, 5*time.Second, func(answer func(int, []byte)) {
 		node.request(func(ref uint64) Input { return Cancel{ref, job.id} }, answer)
 	}, func(status int, body []byte) {
@@ -129,7 +129,7 @@
 			sim.checkAnswer(job, status, body)
 			return
 		}
-		if status == 404 && accepted {
+		if status == 404 && wasAccepted {
 			sim.reportViolation("forgotten", "cancellation of %s got 404", job.id)
 		}
 		sim.schedule(sim.randomDuration(1, 2), retry)
@@ -156,22 +156,22 @@
 		sim.reportViolation("forgotten", "%s got 404", job.id)
 		return
 	}
-	var answered wire.JobStatus
-	if err := wire.Decode(body, &answered); err != nil || answered.ID != job.id {
-		sim.reportViolation("answer", "%s: %v %+v", job.id, err, answered)
+	var jobStatus wire.JobStatus
+	if err := wire.Decode(body, &jobStatus); err != nil || jobStatus.ID != job.id {
+		sim.reportViolation("answer", "%s: %v %+v", job.id, err, jobStatus)
 		return
 	}
 	job.lastAnswerAt = sim.now
-	before := job.reportedState
-	if job.reportedState != "" && answered.Status != job.reportedState {
-		sim.reportViolation("went_back", "%s was %s and is now %s", job.id, job.reportedState, answered.Status)
+	stateBefore := job.reportedState
+	if job.reportedState != "" && jobStatus.Status != job.reportedState {
+		sim.reportViolation("went_back", "%s was %s and is now %s", job.id, job.reportedState, jobStatus.Status)
 	}
-	switch answered.Status {
+	switch jobStatus.Status {
 	case wire.StatusDone:
 		if job.doneCount < job.taskCount {
 			sim.reportViolation("not_done", "%s is reported as done with %d of %d tasks done", job.id, job.doneCount, job.taskCount)
 		}
-		job.reportedState = answered.Status
+		job.reportedState = jobStatus.Status
 	case wire.StatusCancelled:
 		if !job.cancelRequested {
 			sim.reportViolation("went_back", "%s is cancelled without a request", job.id)
@@ -180,9 +180,9 @@
 			job.cancelledAt = sim.now
 			sim.schedule(time.Duration(sim.cfg.cancelS*float64(time.Second))+time.Millisecond, func() { sim.checkCancelled(job) })
 		}
-		job.reportedState = answered.Status
+		job.reportedState = jobStatus.Status
 	}
-	if before != job.reportedState {
+	if stateBefore != job.reportedState {
 		sim.checkAllNodes(job)
 	}
 }
@@ -197,7 +197,7 @@
 	for _, node := range sim.nodes {
 		for _, submitAgain := range []bool{false, true, false} {
 			sim.schedule(sim.randomDuration(0, 0.01), func() {
-				reported := job.reportedState
+				stateBefore := job.reportedState
 				sim.call("users", node.label, 2*time.Second, func(answer func(int, []byte)) {
 					node.request(func(ref uint64) Input {
 						if submitAgain {
@@ -209,7 +209,7 @@
 					switch {
 					case status == 400 || status == 422 || status == 201:
 						sim.reportViolation("forgotten", "repeated submission of %s got %d", job.id, status)
-					case (status == 200 || status == 404) && reported == job.reportedState:
+					case (status == 200 || status == 404) && stateBefore == job.reportedState:
 						sim.checkAnswer(job, status, body)
 					}
 				})
@@ -227,7 +227,7 @@
 	id := fmt.Sprintf("job-8%05d", sim.rng.IntN(100000))
 	spec := map[string]any{"id": id, "docket": "x", "crew": "blue", "form": "batch", "urgency": "standard", "sheets": 2,
 		"cores": 1.0, "accelerators": 0.0, "ramGb": 1.0, "loaners": true, "reckonS": 5.0}
-	fillSubmission(spec)
+	addSubmissionDefaults(spec)
 	want := 400
 	switch sim.rng.IntN(6) {
 	case 0:
@@ -288,7 +288,7 @@
 		need = job.taskCount
 	}
 	freeSlots, used := map[string]int{}, 0.0
-	for _, machine := range sim.created {
+	for _, machine := range sim.createdMachines {
 		if machine.gone || !machine.up {
 			continue
 		}
@@ -387,22 +387,22 @@
 	}
 	cpus := 0.0
 	zones := map[string]int{}
-	for _, other := range sim.created {
-		if other.gone || (other.hung && sim.now-other.renewedAt > other.leaseDuration()) {
+	for _, otherMachine := range sim.createdMachines {
+		if otherMachine.gone || (otherMachine.hung && sim.now-otherMachine.renewedAt > otherMachine.leaseDuration()) {
 			continue
 		}
-		for taskID, otherTask := range other.tasks {
+		for taskID, otherTask := range otherMachine.tasks {
 			if !isExecuting(otherTask) {
 				continue
 			}
-			if taskID == task.id && other != machine {
-				sim.reportViolation("ran_twice", "%s on %s and %s", taskID, other.id, machine.id)
+			if taskID == task.id && otherMachine != machine {
+				sim.reportViolation("ran_twice", "%s on %s and %s", taskID, otherMachine.id, machine.id)
 			}
 			if otherTask.job.team == job.team {
 				cpus += otherTask.job.cores
 			}
 			if otherTask.job == job {
-				zones[other.kind.Zone]++
+				zones[otherMachine.kind.Zone]++
 			}
 		}
 	}
--- a/internal/controller/simulation_workers_test.go
+++ b/internal/controller/simulation_workers_test.go
@@ -96,7 +96,7 @@
 		machine.address = c.sim.addressOf(machine)
 	}
 	c.sim.machines[machine.id] = machine
-	c.sim.created = append(c.sim.created, machine)
+	c.sim.createdMachines = append(c.sim.createdMachines, machine)
 	failureFraction, slowdown := c.bootFailureRate, c.bootSlowdown
 	if failureFraction == 0 {
 		failureFraction = 0.03
@@ -303,10 +303,10 @@
 // redirects to the owner, and tries the next controller after a failure.
 func (m *simMachine) sendHeartbeat() {
 	sim := m.sim
-	sent := sim.now
-	m.lastHeartbeatAt = sent
+	sentAt := sim.now
+	m.lastHeartbeatAt = sentAt
 	m.inFlight = true
-	m.nextHeartbeatAt = sent + sim.randomDuration(0.75*sim.cfg.heartbeatS, 1.25*sim.cfg.heartbeatS)
+	m.nextHeartbeatAt = sentAt + sim.randomDuration(0.75*sim.cfg.heartbeatS, 1.25*sim.cfg.heartbeatS)
 	body := mustEncode(m.buildHeartbeat())
 	incarnation := m.incarnation
 	node := sim.nodes[m.nodeIndex]
@@ -331,7 +331,7 @@
 	sim.call(m.id, node.label, heartbeatTimeout, serve, func(status int, replyBody []byte) {
 		m.whenRunning(func() {
 			m.inFlight = false
-			if sim.now-sent > heartbeatTimeout { // the machine hung and reads the reply too late
+			if sim.now-sentAt > heartbeatTimeout { // the machine hung and reads the reply too late
 				status = 0
 			}
 			switch status {
@@ -341,7 +341,7 @@
 					return
 				}
 				m.observeToken(reply.FencingToken)
-				m.renewedAt = sent
+				m.renewedAt = sentAt
 				for _, command := range reply.Commands {
 					m.execute(command)
 				}
@@ -429,7 +429,7 @@
 			sim.reportViolation("in_use", "%s launched again on %s", command.Task, m.id)
 			return
 		}
-		launched := &simTask{id: command.Task, job: job, attempt: command.Attempt, state: wire.TaskFetching}
+		newTask := &simTask{id: command.Task, job: job, attempt: command.Attempt, state: wire.TaskFetching}
 		if task == nil {
 			m.taskOrder = append(m.taskOrder, command.Task)
 		}
@@ -438,16 +438,16 @@
 			return
 		}
 		cpus, memoryGB := m.freeResources()
-		m.tasks[command.Task] = launched
+		m.tasks[command.Task] = newTask
 		if cpus < job.cores || memoryGB < job.spec["ramGb"].(float64) {
-			launched.state, launched.cause = wire.TaskEnded, wire.CauseNoRoom
+			newTask.state, newTask.cause = wire.TaskEnded, wire.CauseNoRoom
 			return
 		}
 		fetchTime := sim.randomDuration(0.1, 2)
 		if sim.imagesCached {
 			fetchTime = time.Millisecond
 		}
-		sim.schedule(fetchTime, func() { m.whenRunning(func() { m.beginTask(launched, job, taskIndex) }) })
+		sim.schedule(fetchTime, func() { m.whenRunning(func() { m.beginTask(newTask, job, taskIndex) }) })
 	}
 }
 
--- a/internal/controller/stepped_owner_test.go
+++ b/internal/controller/stepped_owner_test.go
@@ -33,7 +33,7 @@
 	owner := &steppedOwner{t: t, sim: sim, node: sim.owner()}
 	owner.core = owner.node.core
 	owner.now = owner.node.clock().Steady
-	owner.job = owner.core.jobs.Open["job-000001"]
+	owner.job = owner.core.jobs.OpenJobs["job-000001"]
 	for _, m := range owner.core.pool.Sorted() {
 		if m.Adopted && len(m.Tasks) > 0 {
 			owner.machine = m
@@ -60,7 +60,7 @@
 // that their list of cancelled jobs, ids, is complete.
 func (o *steppedOwner) grantExtensions(vouching bool, ids ...string) {
 	for _, peer := range o.core.settings.Others {
-		call := PeerCall{Peer: peer.Label, Sent: o.now, Msg: PeerMessage{Promise: true}}
+		call := PeerCall{Peer: peer.Label, SentAt: o.now, Msg: PeerMessage{Promise: true}}
 		o.step(PeerReply{Call: call, Answer: PeerAnswer{Yes: true, Vouch: vouching, Cancelled: ids}})
 	}
 }
@@ -113,7 +113,7 @@
 func (o *steppedOwner) cancelJobOfPreviousOwner() {
 	o.t.Helper()
 	o.sendLaunchOrder(true)
-	o.core.jobs.Open["job-000002"].Prepared = true
+	o.core.jobs.OpenJobs["job-000002"].Prepared = true
 	o.advanceWithCancellations(o.core.ownership.MaxStaleness+2*time.Second, "job-000002")
 	o.markLaunched("job-000002")
 	clear(o.machine.Orders) // the order came from the previous owner
@@ -126,7 +126,7 @@
 	o.core.jobs.Apply(statestore.Change{Key: statestore.Root + "q/" + id + "/0", Entry: statestore.Entry{Value: mustEncode(map[string]any{"d": ""}), Version: 1 << 41}})
 	o.core.jobsChanged = true
 	o.step(Tick{})
-	if !o.core.jobs.Open[id].MayHaveLaunched() {
+	if !o.core.jobs.OpenJobs[id].MayHaveLaunched() {
 		o.t.Fatal("the job does not count as launched")
 	}
 }
@@ -141,7 +141,7 @@
 	}
 	o.core.store.Mirror.Put(statestore.Root+"o/job-000002", raw, 1<<40)
 	o.step(Tick{})
-	job := o.core.jobs.Open["job-000002"]
+	job := o.core.jobs.OpenJobs["job-000002"]
 	if job == nil {
 		o.t.Fatal("the owner has not read the job")
 	}
--- a/internal/controller/task_ends.go
+++ b/internal/controller/task_ends.go
@@ -10,8 +10,8 @@
 )
 
 // handleEndedTask processes the end of an attempt, and returns commands, with a clear appended if the
-// worker may remove the attempt from its task list. A completion must be durable before that, unless the
-// job is cancelled; other ends have no outcome to store.
+// worker may remove the attempt from its task list. A completion must be durable before the clear,
+// unless the job is cancelled; other ends have no outcome to store.
 func (c *Core) handleEndedTask(machine *workers.Machine, job *jobs.Job, taskID string, task int, status wire.TaskStatus, commands []wire.Command, mayClear bool) []wire.Command {
 	mayClear = mayClear && c.mayClear(machine, job, status)
 	if !mayClear {
@@ -84,8 +84,8 @@
 		if !wasFaulty {
 			// The job is faulty, so its failures no longer count against the machines. Otherwise a
 			// machine that ran tasks of two faulty jobs would be drained.
-			for _, other := range c.pool.Machines {
-				delete(other.Failures, job.ID)
+			for _, otherMachine := range c.pool.Machines {
+				delete(otherMachine.Failures, job.ID)
 			}
 		}
 		// Tasks that were started together fail together, which counts as one try. Otherwise the
@@ -110,7 +110,7 @@
 	c.log(slog.LevelInfo, "machine fails its tasks", "machine", machine.ID, "strikes", failures)
 	// Failures on a faulty machine don't count against jobs. Otherwise several faulty machines
 	// would make healthy jobs look faulty.
-	for _, other := range c.jobs.Open {
+	for _, other := range c.jobs.OpenJobs {
 		delete(other.FailedOn, machine.ID)
 	}
 }
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -54,15 +54,15 @@
 	sim.run(900 * time.Millisecond)
 	core := sim.nodes[0].core
 	for id := range want {
-		if core.jobs.Open[id] == nil {
+		if core.jobs.OpenJobs[id] == nil {
 			t.Errorf("%s was not loaded", id)
 		}
 	}
-	largeJob := core.jobs.Open["job-400000"]
+	largeJob := core.jobs.OpenJobs["job-400000"]
 	if largeJob == nil || !largeJob.MayHaveLaunched() || largeJob.DoneCount == 0 || largeJob.DoneCount == largeJob.Tasks {
 		t.Fatalf("the job with many tasks: %+v", largeJob)
 	}
-	if job := core.jobs.Open["job-400001"]; job == nil || !job.Cancelled {
+	if job := core.jobs.OpenJobs["job-400001"]; job == nil || !job.Cancelled {
 		t.Errorf("the cancelled job: %+v", job)
 	}
 	if len(core.machineRecords) < 5 {
@@ -111,7 +111,7 @@
 func TestUpgradeUnderFaults(t *testing.T) {
 	runUpgrade := func(cfg simConfig, seed uint64, skipWait bool) *simulation {
 		sim := newSimulation(seed, cfg)
-		upgraded := map[*simNode]bool{}
+		upgradedNodes := map[*simNode]bool{}
 		for _, node := range sim.nodes {
 			node.lacksGangSupport = true
 			node.crash(0)
@@ -138,7 +138,7 @@
 		}
 		for i, node := range sim.nodes {
 			sim.schedule(time.Duration(30+12*i)*second+sim.randomDuration(0, 8), func() {
-				node.lacksGangSupport, upgraded[node] = false, true
+				node.lacksGangSupport, upgradedNodes[node] = false, true
 				node.crash(sim.randomDuration(0.2, 4))
 			})
 		}
--- a/internal/controller/usage_log.go
+++ b/internal/controller/usage_log.go
@@ -14,32 +14,32 @@
 	}
 	c.nextUsageLog = c.now.Steady + limits.UsageLogInterval
 	cpusByState := map[jobs.TaskState]float64{}
-	idle, free, waiting := 0.0, 0.0, 0.0
+	idleCPUs, freeCPUs, waitingCPUs := 0.0, 0.0, 0.0
 	for _, machine := range c.pool.Machines {
 		machineType := c.fleet.Types[machine.Class]
 		if machineType == nil || !machine.Adopted {
 			continue
 		}
-		unused := machineType.CPUs
+		unusedCPUs := machineType.CPUs
 		for _, ref := range c.loadOf(machine.ID).tasks {
 			cpusByState[ref.job.Assigned[ref.task].State] += ref.job.CPUs
-			unused -= ref.job.CPUs
+			unusedCPUs -= ref.job.CPUs
 		}
 		if c.tasksOn(machine.ID) == 0 {
-			idle += unused
+			idleCPUs += unusedCPUs
 		} else {
-			free += unused
+			freeCPUs += unusedCPUs
 		}
 	}
-	for _, job := range c.jobs.Open {
+	for _, job := range c.jobs.OpenJobs {
 		if job.Active && !job.Cancelled {
-			waiting += float64(job.WaitingCount()) * job.CPUs
+			waitingCPUs += float64(job.WaitingCount()) * job.CPUs
 		}
 	}
-	booting := 0
+	bootingCount := 0
 	for _, count := range c.fleet.CountBooting() {
-		booting += count
+		bootingCount += count
 	}
 	c.log(slog.LevelDebug, "use of CPUs", "running", cpusByState[jobs.Running], "fetching", cpusByState[jobs.Fetching], "toldOrPlanned", cpusByState[jobs.Planned]+cpusByState[jobs.Sent],
-		"saving", cpusByState[jobs.Saving], "freeOnBusy", free, "idle", idle, "waiting", waiting, "bootingMachines", booting)
+		"saving", cpusByState[jobs.Saving], "freeOnBusy", freeCPUs, "idle", idleCPUs, "waiting", waitingCPUs, "bootingMachines", bootingCount)
 }
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -87,14 +87,14 @@
 	if team == nil {
 		return "crew: unknown team"
 	}
-	listed := map[string]bool{}
-	for _, t := range submission.AllowedTypes {
-		listed[t] = true
+	listedTypes := map[string]bool{}
+	for _, typeName := range submission.AllowedTypes {
+		listedTypes[typeName] = true
 	}
 	submission.Types = nil
 	for _, name := range c.fleet.Classes() {
 		machineType := c.fleet.Types[name]
-		if !submission.AnyType && !listed[name] {
+		if !submission.AnyType && !listedTypes[name] {
 			continue
 		}
 		if submission.Zone != "" && !contains(machineType.Zones, submission.Zone) {
--- a/internal/fleet/deletions_test.go
+++ b/internal/fleet/deletions_test.go
@@ -16,8 +16,8 @@
 func TestFailedDeletionsAreRetried(t *testing.T) {
 	for _, machines := range []int{1, limits.MaxDeletionsPerRequest + 20} {
 		manager := New(10, 4, "p", func(slog.Level, string, ...any) {})
-		deleted := map[string]bool{}
-		manager.OnDeleted = func(id string) { deleted[id] = true }
+		deletedIDs := map[string]bool{}
+		manager.OnDeleted = func(id string) { deletedIDs[id] = true }
 		now := time.Second
 		tick(t, manager, now)
 		for i := range machines {
@@ -26,7 +26,7 @@
 			manager.MarkForDeletion(id, ReturnIdle)
 		}
 		refusals := []int{503, 0}
-		for ; now < time.Minute && len(deleted) < machines; now += 2 * time.Second {
+		for ; now < time.Minute && len(deletedIDs) < machines; now += 2 * time.Second {
 			for _, call := range tick(t, manager, now) {
 				if n := len(call.Body.(wire.MachineIDs).Machines); n > limits.MaxDeletionsPerRequest {
 					t.Fatalf("%d machines in one deletion request", n)
@@ -38,8 +38,8 @@
 				manager.HandleReply(now, call.ID, status, nil)
 			}
 		}
-		if len(deleted) != machines {
-			t.Errorf("%d of %d machines deleted", len(deleted), machines)
+		if len(deletedIDs) != machines {
+			t.Errorf("%d of %d machines deleted", len(deletedIDs), machines)
 		}
 	}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -205,9 +205,9 @@
 		m.retryRentals()
 		m.readList()
 	}
-	out := m.outgoingCalls
+	outgoing := m.outgoingCalls
 	m.outgoingCalls = nil
-	return out
+	return outgoing
 }
 
 func (m *Manager) readTypes() {
@@ -337,18 +337,18 @@
 	m.requestedCounts[kind] += request.payload.Count
 	m.queueCall("POST", "/hosts", request.payload, func(status int, body []byte) {
 		m.requestedCounts[kind] -= request.payload.Count
-		var rented wire.MachineIDs
+		var rentedIDs wire.MachineIDs
 		switch {
-		case status == 200 && wire.Decode(body, &rented) == nil:
-			for _, id := range rented.Machines {
+		case status == 200 && wire.Decode(body, &rentedIDs) == nil:
+			for _, id := range rentedIDs.Machines {
 				m.Track(id, kind, m.now)
 			}
-			m.log(slog.LevelInfo, "machines rented", "class", kind.Class, "zone", kind.Zone, "spot", kind.Spot, "asked", request.payload.Count, "got", len(rented.Machines))
-			if len(rented.Machines) < request.payload.Count {
+			m.log(slog.LevelInfo, "machines rented", "class", kind.Class, "zone", kind.Zone, "spot", kind.Spot, "asked", request.payload.Count, "got", len(rentedIDs.Machines))
+			if len(rentedIDs.Machines) < request.payload.Count {
 				m.backoffUntil[kind] = m.now + limits.RentBackoff
 			}
 		case status == 0:
-			// The cloud may have rented them. A retry under the same name returns
+			// The cloud may have rented the machines. A retry under the same name returns
 			// these machines and rents no others.
 			m.unconfirmedRequests[request.payload.Request] = request
 		default:
@@ -426,7 +426,7 @@
 		}
 		rental.ListedStatus, rental.LastListedAt = machine.Status, m.now
 	}
-	var unlisted []string
+	var unlistedIDs []string
 	for _, rental := range m.Rentals {
 		if _, ok := m.partialList[rental.ID]; ok {
 			continue
@@ -435,10 +435,10 @@
 		// listed has been deleted. A new machine may be missing from lists for twice
 		// the lag, so a machine that was never listed is given one lag more.
 		if rental.LastListedAt != 0 && m.listStartedAt-rental.LastListedAt > 2*m.listLag+limits.MachineListInterval || rental.LastListedAt == 0 && m.listStartedAt-rental.RentedAt > 3*m.listLag+limits.MachineListInterval && !rental.Up {
-			unlisted = append(unlisted, rental.ID)
+			unlistedIDs = append(unlistedIDs, rental.ID)
 		}
 	}
-	m.markAllForDeletion(unlisted, ReturnUnlisted)
+	m.markAllForDeletion(unlistedIDs, ReturnUnlisted)
 	m.partialList = nil
 }
 
@@ -447,13 +447,13 @@
 // receivingSince is when they began to arrive after the last gap.
 func (m *Manager) MarkDeadRentalsForDeletion(receivingHeartbeats bool, receivingSince time.Duration) {
 	m.updateSpotRisk()
-	var failed, neverUp []string
+	var failedIDs, neverUpIDs []string
 	for _, rental := range m.Rentals {
 		if rental.Deleting {
 			continue
 		}
 		if rental.ListedStatus == wire.MachineFailed {
-			failed = append(failed, rental.ID)
+			failedIDs = append(failedIDs, rental.ID)
 			continue
 		}
 		machineType := m.Types[rental.Kind.Class]
@@ -474,11 +474,11 @@
 		// Without the check of waitingSince, a takeover would return running machines to the cloud
 		// only because they have not sent a heartbeat to the new owner yet.
 		if m.now-rental.RentedAt > boot+limits.BootSlack && m.now-waitingSince > m.HeartbeatTimeout {
-			neverUp = append(neverUp, rental.ID)
+			neverUpIDs = append(neverUpIDs, rental.ID)
 		}
 	}
-	m.markAllForDeletion(failed, ReturnFailed)
-	m.markAllForDeletion(neverUp, ReturnNeverUp)
+	m.markAllForDeletion(failedIDs, ReturnFailed)
+	m.markAllForDeletion(neverUpIDs, ReturnNeverUp)
 }
 
 // CountBooting returns, for each kind, how many machines are requested or rented but not up
