--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -43,22 +43,22 @@
 // and a machine that never comes up must be marked for deletion.
 func TestUnansweredCallsAreRetried(t *testing.T) {
 	manager := New(10, 4, "p", func(slog.Level, string, ...any) {})
-	var deleted []string
-	manager.OnDeleted = func(id string) { deleted = append(deleted, id) }
+	var deletedIDs []string
+	manager.OnDeleted = func(id string) { deletedIDs = append(deletedIDs, id) }
 	now := time.Second
 	tick(t, manager, now)
 	kind := Kind{Class: "c", Zone: "z", Spot: true}
 	manager.Rent(kind, 3)
 	calls := tick(t, manager, now)
-	first := calls[0].Body.(wire.RentalRequest)
+	firstRequest := calls[0].Body.(wire.RentalRequest)
 	manager.HandleReply(now, calls[0].ID, 0, nil)
 	if manager.MayRent(kind) || manager.CountBooting()[kind] != 3 {
 		t.Fatal("an unanswered rental request does not block other requests of its kind, or its machines do not count as booting")
 	}
 	now += 5 * time.Second
 	calls = tick(t, manager, now)
-	if len(calls) != 1 || calls[0].Body.(wire.RentalRequest) != first {
-		t.Fatalf("retried as %+v, want %+v", calls, first)
+	if len(calls) != 1 || calls[0].Body.(wire.RentalRequest) != firstRequest {
+		t.Fatalf("retried as %+v, want %+v", calls, firstRequest)
 	}
 	manager.HandleReply(now, calls[0].ID, 200, encode(t, wire.MachineIDs{Machines: []string{"i-1", "i-2"}}))
 	if manager.CountBooting()[kind] != 2 || manager.Available(kind) || len(manager.Rentals) != 2 {
@@ -67,7 +67,7 @@
 	now += 10 * time.Second
 	tick(t, manager, now)
 	manager.Rent(kind, 1)
-	if second := tick(t, manager, now)[0].Body.(wire.RentalRequest); second.Request == first.Request {
+	if second := tick(t, manager, now)[0].Body.(wire.RentalRequest); second.Request == firstRequest.Request {
 		t.Error("a new request has the name of an earlier one")
 	}
 
@@ -75,14 +75,14 @@
 	manager.MarkForDeletion("i-1", ReturnIdle)
 	calls = tick(t, manager, now)
 	manager.HandleReply(now, calls[0].ID, 0, nil)
-	if len(deleted) != 0 {
+	if len(deletedIDs) != 0 {
 		t.Fatal("the machine counts as deleted without an answer")
 	}
 	now += 5 * time.Second
 	calls = tick(t, manager, now)
 	manager.HandleReply(now, calls[0].ID, 200, nil)
-	if len(deleted) != 1 || !manager.IsDeleted("i-1") || manager.Track("i-1", kind, now) != nil {
-		t.Errorf("deleted %v, want only i-1, which can't be tracked again", deleted)
+	if len(deletedIDs) != 1 || !manager.IsDeleted("i-1") || manager.Track("i-1", kind, now) != nil {
+		t.Errorf("deleted %v, want only i-1, which can't be tracked again", deletedIDs)
 	}
 	// Two minutes later, the machine that never came up is marked for deletion.
 	now += 2 * time.Minute
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -13,19 +13,19 @@
 	"umberpaddle/internal/wire"
 )
 
-// Kind is the kind of a request.
-type Kind string
+// RequestKind is the kind of a request.
+type RequestKind string
 
 // Kinds of requests.
 const (
-	Submission   Kind = "submission"
-	Query        Kind = "question"
-	Cancellation Kind = "cancellation"
+	Submission   RequestKind = "submission"
+	Query        RequestKind = "question"
+	Cancellation RequestKind = "cancellation"
 )
 
 // Exchange is one request of a user and its answer.
 type Exchange struct {
-	Kind       Kind
+	Kind       RequestKind
 	Job        string
 	Node       string
 	SentAt     time.Duration
@@ -39,7 +39,7 @@
 }
 
 // TaskRun is the time that an attempt of a task spent on a machine: from when it could first execute
-// until it ended, or its machine was gone or had to stop it.
+// until it ended, its machine was gone, or its machine had to stop it.
 type TaskRun struct {
 	Job     string
 	Task    string
@@ -59,8 +59,8 @@
 	// job must have ended after the first answer that confirmed the cancellation.
 	Runs         []TaskRun
 	CancelWithin time.Duration
-	// Completed is the time at which the last task of a job was completed, by job.
-	Completed map[string]time.Duration
+	// CompletedAt is the time at which the last task of a job was completed, by job.
+	CompletedAt map[string]time.Duration
 }
 
 // Rule identifies a rule of the protocol by the way in which it is violated.
@@ -115,7 +115,7 @@
 )
 
 // reported returns the state that an answer reports.
-func (e Exchange) reported() reportedState {
+func (e Exchange) stateReported() reportedState {
 	switch {
 	case e.Status == 404:
 		return reportedUnknown
@@ -128,17 +128,17 @@
 }
 
 // Check returns the violations in a recording, ordered by the time of the answer.
-func Check(r Recording) []Violation {
+func Check(recording Recording) []Violation {
 	byJob := map[string][]Exchange{}
-	for _, e := range r.Exchanges {
+	for _, e := range recording.Exchanges {
 		byJob[e.Job] = append(byJob[e.Job], e)
 	}
 	var violations []Violation
 	for job, exchanges := range byJob {
-		completed, done := r.Completed[job]
-		violations = append(violations, checkJob(job, exchanges, completed, done)...)
+		completedAt, isCompleted := recording.CompletedAt[job]
+		violations = append(violations, checkJob(job, exchanges, completedAt, isCompleted)...)
 	}
-	violations = append(violations, checkRuns(r, byJob)...)
+	violations = append(violations, checkRuns(recording, byJob)...)
 	slices.SortFunc(violations, func(a, b Violation) int {
 		return cmp.Or(cmp.Compare(a.Answer.AnsweredAt, b.Answer.AnsweredAt), cmp.Compare(a.Job, b.Job))
 	})
@@ -146,22 +146,22 @@
 }
 
 // checkJob checks the answers about one job.
-func checkJob(job string, exchanges []Exchange, completed time.Duration, done bool) (violations []Violation) {
-	answered := slices.Clone(exchanges)
-	slices.SortFunc(answered, func(a, b Exchange) int { return cmp.Compare(a.AnsweredAt, b.AnsweredAt) })
+func checkJob(job string, exchanges []Exchange, completedAt time.Duration, isCompleted bool) (violations []Violation) {
+	answers := slices.Clone(exchanges)
+	slices.SortFunc(answers, func(a, b Exchange) int { return cmp.Compare(a.AnsweredAt, b.AnsweredAt) })
 	firstSubmission := earliestSent(exchanges, Submission)
 	firstCancellation := earliestSent(exchanges, Cancellation)
-	for i, answer := range answered {
+	for i, answer := range answers {
 		add := func(rule Rule, earlier *Exchange) {
 			violations = append(violations, Violation{Rule: rule, Job: job, Answer: answer, Earlier: earlier})
 		}
-		if earlier := highestBefore(answered[:i], answer.SentAt); earlier != nil {
+		if earlier := highestAnswerBy(answers[:i], answer.SentAt); earlier != nil {
 			if rule, contradicted := violatedRule(*earlier, answer); contradicted {
 				add(rule, earlier)
 			}
 		}
-		state := answer.reported()
-		if earlier := firstFinalAnswer(answered[:i]); earlier != nil && state == reportedFinal && earlier.State != answer.State {
+		state := answer.stateReported()
+		if earlier := firstFinalAnswer(answers[:i]); earlier != nil && state == reportedFinal && earlier.State != answer.State {
 			add(StateRegressed, earlier)
 		}
 		switch {
@@ -169,7 +169,7 @@
 			add(NeverSubmitted, nil)
 		case answer.State == wire.StatusCancelled && state == reportedFinal && (firstCancellation < 0 || firstCancellation > answer.AnsweredAt):
 			add(StateRegressed, nil)
-		case answer.State == wire.StatusDone && state == reportedFinal && (!done || completed > answer.AnsweredAt):
+		case answer.State == wire.StatusDone && state == reportedFinal && (!isCompleted || completedAt > answer.AnsweredAt):
 			add(DoneTooEarly, nil)
 		}
 	}
@@ -178,10 +178,10 @@
 
 // checkRuns checks that the tasks of cancelled jobs ended in time after the first answer that
 // confirmed the cancellation.
-func checkRuns(r Recording, byJob map[string][]Exchange) (violations []Violation) {
-	for _, run := range r.Runs {
+func checkRuns(recording Recording, byJob map[string][]Exchange) (violations []Violation) {
+	for _, run := range recording.Runs {
 		confirmation := firstAnswerWith(byJob[run.Job], wire.StatusCancelled)
-		if confirmation != nil && run.Ended > confirmation.AnsweredAt+r.CancelWithin {
+		if confirmation != nil && run.Ended > confirmation.AnsweredAt+recording.CancelWithin {
 			violations = append(violations, Violation{Rule: RanAfterCancel, Job: run.Job, Answer: *confirmation, Run: &run})
 		}
 	}
@@ -189,60 +189,60 @@
 }
 
 // firstAnswerWith returns the earliest answer that reports the given final state, or nil.
-func firstAnswerWith(exchanges []Exchange, state wire.JobState) (first *Exchange) {
+func firstAnswerWith(exchanges []Exchange, state wire.JobState) (firstAnswer *Exchange) {
 	for i, e := range exchanges {
-		if e.reported() == reportedFinal && e.State == state && (first == nil || e.AnsweredAt < first.AnsweredAt) {
-			first = &exchanges[i]
+		if e.stateReported() == reportedFinal && e.State == state && (firstAnswer == nil || e.AnsweredAt < firstAnswer.AnsweredAt) {
+			firstAnswer = &exchanges[i]
 		}
 	}
-	return first
+	return firstAnswer
 }
 
 // earliestSent returns the time at which the first request of a kind was sent, or -1.
-func earliestSent(exchanges []Exchange, kind Kind) time.Duration {
-	first := time.Duration(-1)
+func earliestSent(exchanges []Exchange, kind RequestKind) time.Duration {
+	earliest := time.Duration(-1)
 	for _, e := range exchanges {
-		if e.Kind == kind && (first < 0 || e.SentAt < first) {
-			first = e.SentAt
+		if e.Kind == kind && (earliest < 0 || e.SentAt < earliest) {
+			earliest = e.SentAt
 		}
 	}
-	return first
+	return earliest
 }
 
-// highestBefore returns the answer with the highest reported state among those given by a time, or
-// nil. The answers are ordered by time.
-func highestBefore(answered []Exchange, at time.Duration) *Exchange {
-	var highest *Exchange
-	for i, e := range answered {
+// highestAnswerBy returns the answer with the highest reported state among the answers given at a time
+// or earlier, or nil. The answers are ordered by time.
+func highestAnswerBy(answers []Exchange, at time.Duration) *Exchange {
+	var highestAnswer *Exchange
+	for i, e := range answers {
 		if e.AnsweredAt > at {
 			break
 		}
-		if e.reported() > reportedNothing && (highest == nil || e.reported() > highest.reported()) {
-			highest = &answered[i]
+		if e.stateReported() > reportedNothing && (highestAnswer == nil || e.stateReported() > highestAnswer.stateReported()) {
+			highestAnswer = &answers[i]
 		}
 	}
-	return highest
+	return highestAnswer
 }
 
 // firstFinalAnswer returns the first answer that reports a final state, or nil. A job has only one
 // final state, whatever the order of the requests.
-func firstFinalAnswer(answered []Exchange) *Exchange {
-	i := slices.IndexFunc(answered, func(e Exchange) bool { return e.reported() == reportedFinal })
+func firstFinalAnswer(answers []Exchange) *Exchange {
+	i := slices.IndexFunc(answers, func(e Exchange) bool { return e.stateReported() == reportedFinal })
 	if i < 0 {
 		return nil
 	}
-	return &answered[i]
+	return &answers[i]
 }
 
 // violatedRule returns the rule that answer violates by reporting a lower state than earlier, which was
 // given before the request of answer was sent. It returns false if answer violates none.
 func violatedRule(earlier, answer Exchange) (Rule, bool) {
-	before, after := earlier.reported(), answer.reported()
-	refused := answer.Kind == Submission && (answer.Status == 400 || answer.Status == 422)
+	earlierState, answerState := earlier.stateReported(), answer.stateReported()
+	rejected := answer.Kind == Submission && (answer.Status == 400 || answer.Status == 422)
 	switch {
-	case before >= reportedAccepted && (after == reportedUnknown || refused):
+	case earlierState >= reportedAccepted && (answerState == reportedUnknown || rejected):
 		return JobLost, true
-	case before == reportedFinal && after == reportedAccepted:
+	case earlierState == reportedFinal && answerState == reportedAccepted:
 		return StateRegressed, true
 	}
 	return "", false
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -12,10 +12,10 @@
 // violation even in concurrent answers.
 func TestCheck(t *testing.T) {
 	const ms = time.Millisecond
-	accepted := Exchange{Kind: Submission, Job: "job-1", Node: "a", SentAt: 1 * ms, AnsweredAt: 40 * ms, Status: 201, State: wire.StatusPending}
-	cancelled := Exchange{Kind: Cancellation, Job: "job-1", Node: "b", SentAt: 50 * ms, AnsweredAt: 90 * ms, Status: 200, State: wire.StatusCancelled}
-	done := Exchange{Kind: Query, Job: "job-1", Node: "b", SentAt: 50 * ms, AnsweredAt: 90 * ms, Status: 200, State: wire.StatusDone}
-	laterExchange := func(kind Kind, sent time.Duration, status int, state wire.JobState) Exchange {
+	acceptance := Exchange{Kind: Submission, Job: "job-1", Node: "a", SentAt: 1 * ms, AnsweredAt: 40 * ms, Status: 201, State: wire.StatusPending}
+	cancellation := Exchange{Kind: Cancellation, Job: "job-1", Node: "b", SentAt: 50 * ms, AnsweredAt: 90 * ms, Status: 200, State: wire.StatusCancelled}
+	completion := Exchange{Kind: Query, Job: "job-1", Node: "b", SentAt: 50 * ms, AnsweredAt: 90 * ms, Status: 200, State: wire.StatusDone}
+	laterExchange := func(kind RequestKind, sent time.Duration, status int, state wire.JobState) Exchange {
 		return Exchange{Kind: kind, Job: "job-1", Node: "c", SentAt: sent, AnsweredAt: 200 * ms, Status: status, State: state}
 	}
 	cases := []struct {
@@ -24,24 +24,24 @@
 		completed time.Duration
 		want      []Rule
 	}{
-		{name: "no violation", exchanges: []Exchange{accepted, done, laterExchange(Query, 100*ms, 200, wire.StatusDone)}, completed: 60 * ms},
-		{name: "pending after cancelled", exchanges: []Exchange{accepted, cancelled, laterExchange(Submission, 100*ms, 200, wire.StatusPending)}, want: []Rule{StateRegressed}},
-		{name: "sent before the cancellation was answered", exchanges: []Exchange{accepted, cancelled, laterExchange(Submission, 60*ms, 200, wire.StatusPending)}},
-		{name: "done after cancelled", exchanges: []Exchange{accepted, cancelled, laterExchange(Query, 100*ms, 200, wire.StatusDone)}, completed: 60 * ms, want: []Rule{StateRegressed}},
-		{name: "two final states in concurrent answers", exchanges: []Exchange{accepted, cancelled, laterExchange(Query, 60*ms, 200, wire.StatusDone)}, completed: 60 * ms, want: []Rule{StateRegressed}},
-		{name: "cancelled without a request", exchanges: []Exchange{accepted, laterExchange(Query, 100*ms, 200, wire.StatusCancelled)}, want: []Rule{StateRegressed}},
-		{name: "unknown after accepted", exchanges: []Exchange{accepted, laterExchange(Query, 100*ms, 404, "")}, want: []Rule{JobLost}},
-		{name: "repeated submission refused", exchanges: []Exchange{accepted, laterExchange(Submission, 100*ms, 422, "")}, want: []Rule{JobLost}},
-		{name: "asked to try again", exchanges: []Exchange{accepted, cancelled, laterExchange(Submission, 100*ms, 503, ""), laterExchange(Query, 100*ms, 0, "")}},
+		{name: "no violation", exchanges: []Exchange{acceptance, completion, laterExchange(Query, 100*ms, 200, wire.StatusDone)}, completed: 60 * ms},
+		{name: "pending after cancelled", exchanges: []Exchange{acceptance, cancellation, laterExchange(Submission, 100*ms, 200, wire.StatusPending)}, want: []Rule{StateRegressed}},
+		{name: "sent before the cancellation was answered", exchanges: []Exchange{acceptance, cancellation, laterExchange(Submission, 60*ms, 200, wire.StatusPending)}},
+		{name: "done after cancelled", exchanges: []Exchange{acceptance, cancellation, laterExchange(Query, 100*ms, 200, wire.StatusDone)}, completed: 60 * ms, want: []Rule{StateRegressed}},
+		{name: "two final states in concurrent answers", exchanges: []Exchange{acceptance, cancellation, laterExchange(Query, 60*ms, 200, wire.StatusDone)}, completed: 60 * ms, want: []Rule{StateRegressed}},
+		{name: "cancelled without a request", exchanges: []Exchange{acceptance, laterExchange(Query, 100*ms, 200, wire.StatusCancelled)}, want: []Rule{StateRegressed}},
+		{name: "unknown after accepted", exchanges: []Exchange{acceptance, laterExchange(Query, 100*ms, 404, "")}, want: []Rule{JobLost}},
+		{name: "repeated submission refused", exchanges: []Exchange{acceptance, laterExchange(Submission, 100*ms, 422, "")}, want: []Rule{JobLost}},
+		{name: "asked to try again", exchanges: []Exchange{acceptance, cancellation, laterExchange(Submission, 100*ms, 503, ""), laterExchange(Query, 100*ms, 0, "")}},
 		{name: "never submitted", exchanges: []Exchange{laterExchange(Query, 100*ms, 200, wire.StatusRunning)}, want: []Rule{NeverSubmitted}},
-		{name: "done too early", exchanges: []Exchange{accepted, done}, completed: 95 * ms, want: []Rule{DoneTooEarly}},
-		{name: "done without completing its tasks", exchanges: []Exchange{accepted, done}, want: []Rule{DoneTooEarly}},
+		{name: "done too early", exchanges: []Exchange{acceptance, completion}, completed: 95 * ms, want: []Rule{DoneTooEarly}},
+		{name: "done without completing its tasks", exchanges: []Exchange{acceptance, completion}, want: []Rule{DoneTooEarly}},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
-			recording := Recording{Exchanges: testCase.exchanges, Completed: map[string]time.Duration{}}
+			recording := Recording{Exchanges: testCase.exchanges, CompletedAt: map[string]time.Duration{}}
 			if testCase.completed > 0 {
-				recording.Completed["job-1"] = testCase.completed
+				recording.CompletedAt["job-1"] = testCase.completed
 			}
 			violations := Check(recording)
 			if len(violations) != len(testCase.want) {
@@ -63,7 +63,7 @@
 	cancellationAnswer := func(at time.Duration, status int, state wire.JobState) Exchange {
 		return Exchange{Kind: Cancellation, Job: "job-1", Node: "a", SentAt: at - second, AnsweredAt: at, Status: status, State: state}
 	}
-	submitted := Exchange{Kind: Submission, Job: "job-1", Node: "a", AnsweredAt: second, Status: 201, State: wire.StatusPending}
+	submission := Exchange{Kind: Submission, Job: "job-1", Node: "a", AnsweredAt: second, Status: 201, State: wire.StatusPending}
 	newRun := func(job string, began, ended time.Duration) TaskRun {
 		return TaskRun{Job: job, Task: job + "/0", Machine: "i-1", Began: began, Ended: ended}
 	}
@@ -81,7 +81,7 @@
 		{"cancellation not confirmed", []Exchange{cancellationAnswer(10*second, 503, ""), cancellationAnswer(10*second, 0, "")}, []TaskRun{newRun("job-1", 2*second, 60*second)}, 0},
 		{"another job", []Exchange{cancellationAnswer(10*second, 200, wire.StatusCancelled)}, []TaskRun{newRun("job-2", 2*second, 60*second)}, 0},
 	} {
-		recording := Recording{Exchanges: append(testCase.exchanges, submitted), Runs: testCase.runs, CancelWithin: 20 * second}
+		recording := Recording{Exchanges: append(testCase.exchanges, submission), Runs: testCase.runs, CancelWithin: 20 * second}
 		violations := Check(recording)
 		if len(violations) != testCase.want {
 			t.Errorf("%s: %v", testCase.name, violations)
--- a/internal/jobs/answers.go
+++ b/internal/jobs/answers.go
@@ -34,8 +34,8 @@
 	answered     bool
 }
 
-func (r *Registry) newWaiter(job string, wait time.Duration, reply func(Answer)) *waiter {
-	return &waiter{jobID: job, arrivedAfter: r.store.LastCallID(), deadline: r.now + wait, reply: reply}
+func (r *Registry) newWaiter(jobID string, wait time.Duration, reply func(Answer)) *waiter {
+	return &waiter{jobID: jobID, arrivedAfter: r.store.LastCallID(), deadline: r.now + wait, reply: reply}
 }
 
 // answer sends an answer unless one was sent before. Callers other than answerFromRead pass only
@@ -58,21 +58,21 @@
 // answerFromRead answers with the state of a job that a read found unfinished or unknown. Every
 // such state reaches users through this method, which enforces two rules. If this node has received
 // the job's final state meanwhile, the answer is the final state. A state that was read before the
-// request arrived is withheld. Callers start a new read if theirs is not fresh for a request, so a
+// request arrived is withheld. Callers start a new read if their read is not fresh for a request, so a
 // withheld answer is a bug in this program.
-func (r *Registry) answerFromRead(read stateRead, w *waiter, a Answer) {
-	if final, ok := r.finalStates[w.jobID]; ok {
-		w.answer(finalAnswer(w.jobID, final))
+func (r *Registry) answerFromRead(read stateRead, request *waiter, answer Answer) {
+	if final, ok := r.finalStates[request.jobID]; ok {
+		request.answer(finalAnswer(request.jobID, final))
 		return
 	}
-	if !read.isFreshFor(w) {
+	if !read.isFreshFor(request) {
 		r.WithheldAnswers++
-		r.log(slog.LevelError, "answer withheld: read before its request came", "job", w.jobID, "call", read.call, "arrivedAfter", w.arrivedAfter)
-		w.answer(RetryLater())
+		r.log(slog.LevelError, "answer withheld: read before its request came", "job", request.jobID, "call", read.call, "arrivedAfter", request.arrivedAfter)
+		request.answer(RetryLater())
 		return
 	}
-	r.log(slog.LevelDebug, "job state told", "job", w.jobID, "status", a.Status, "call", read.call, "arrivedAfter", w.arrivedAfter, "revision", r.store.Mirror.Revision)
-	w.answer(a)
+	r.log(slog.LevelDebug, "job state told", "job", request.jobID, "status", answer.Status, "call", read.call, "arrivedAfter", request.arrivedAfter, "revision", r.store.Mirror.Revision)
+	request.answer(answer)
 }
 
 func finalAnswer(job string, final finalState) Answer {
--- a/internal/jobs/cancellations.go
+++ b/internal/jobs/cancellations.go
@@ -35,11 +35,11 @@
 // answers the request. If the job has ended or its record has changed, it answers with the final
 // state, or asks the user to retry if there is none.
 func (r *Registry) writeCancellation(request *lookup, version uint64) {
-	done := 0
-	if j := r.Open[request.jobID]; j != nil {
-		done = max(j.DoneCount, j.displayDone)
+	doneCount := 0
+	if job := r.OpenJobs[request.jobID]; job != nil {
+		doneCount = max(job.DoneCount, job.displayDone)
 	}
-	final := finalState{Status: wire.StatusCancelled, Done: done}
+	final := finalState{Status: wire.StatusCancelled, Done: doneCount}
 	txn := wire.Txn{
 		Guards: []wire.Guard{{Key: keyJob + request.jobID, Version: version}, {Key: keyFinal + request.jobID}},
 		Then:   []wire.Op{{Key: keyFinal + request.jobID, Value: final}, {Key: keyCancelled + request.jobID, Value: true}}}
@@ -82,23 +82,23 @@
 // IsDone reports whether this node has a record that a job completed. It returns false for a job whose
 // final state is no longer cached.
 func (r *Registry) IsDone(id string) bool {
-	return r.finalStates[id].Status == wire.StatusDone || r.finalized[id] != nil
+	return r.finalStates[id].Status == wire.StatusDone || r.finalizedJobs[id] != nil
 }
 
 // setCancelled marks an open job as cancelled.
-func (r *Registry) setCancelled(j *Job, confirmedAfter time.Duration) {
-	j.Cancelled, j.CancelConfirmedAfter = true, confirmedAfter
-	r.cancelled[j.ID] = j
+func (r *Registry) setCancelled(job *Job, confirmedAfter time.Duration) {
+	job.Cancelled, job.CancelConfirmedAfter = true, confirmedAfter
+	r.cancelledJobs[job.ID] = job
 }
 
 // markCancelled marks a job as cancelled if it is open, and reports whether this is a change.
 func (r *Registry) markCancelled(id string) bool {
-	j := r.Open[id]
-	if j == nil || j.Cancelled {
+	job := r.OpenJobs[id]
+	if job == nil || job.Cancelled {
 		return false
 	}
-	r.setCancelled(j, r.cancellationsKnownThrough)
-	r.log(slog.LevelInfo, "job cancelled", "job", id, "toldWithin", confirmedWithin(r.now, j.CancelConfirmedAfter))
+	r.setCancelled(job, r.cancellationsKnownThrough)
+	r.log(slog.LevelInfo, "job cancelled", "job", id, "toldWithin", confirmedWithin(r.now, job.CancelConfirmedAfter))
 	return true
 }
 
@@ -106,17 +106,17 @@
 // recorded after a revision, or is not known to be older. An owner whose term is a later revision than
 // the cancellation has never launched a task of the job, because it had read the cancellation before it
 // began to act under that term.
-func (r *Registry) JobsCancelledAfter(revision uint64) (list []*Job) {
-	for id, j := range r.cancelled {
+func (r *Registry) JobsCancelledAfter(revision uint64) (cancelledJobs []*Job) {
+	for id, job := range r.cancelledJobs {
 		// Until the key that records the cancellation is in the mirror, the cancellation counts as newer
 		// than every revision.
-		cancellation, read := r.store.Mirror.Get(keyCancelled + id)
-		if j.MayHaveLaunched() && (!read || cancellation.Version > revision) {
-			list = append(list, j)
+		cancellation, isRead := r.store.Mirror.Get(keyCancelled + id)
+		if job.MayHaveLaunched() && (!isRead || cancellation.Version > revision) {
+			cancelledJobs = append(cancelledJobs, job)
 		}
 	}
-	slices.SortFunc(list, func(a, b *Job) int { return strings.Compare(a.ID, b.ID) })
-	return list
+	slices.SortFunc(cancelledJobs, func(a, b *Job) int { return strings.Compare(a.ID, b.ID) })
+	return cancelledJobs
 }
 
 // MergeCancellations applies cancellations that a peer reports as recorded in the state service.
@@ -124,12 +124,12 @@
 func (r *Registry) MergeCancellations(now time.Duration, ids []string) (anyNew bool) {
 	r.now = max(r.now, now)
 	for _, id := range ids {
-		j := r.Open[id]
-		anyNew = anyNew || j != nil && !j.Cancelled
+		job := r.OpenJobs[id]
+		anyNew = anyNew || job != nil && !job.Cancelled
 		if _, ok := r.finalStates[id]; !ok {
 			final := finalState{Status: wire.StatusCancelled}
-			if j != nil {
-				final.Done = max(j.DoneCount, j.displayDone)
+			if job != nil {
+				final.Done = max(job.DoneCount, job.displayDone)
 			}
 			r.cacheFinal(id, final)
 		}
@@ -146,11 +146,11 @@
 // briefly, right after that time has passed, or permanently if this node had not read the job's record.
 func (r *Registry) Cancellations() []string {
 	var ids []string
-	for id := range r.cancelled {
+	for id := range r.cancelledJobs {
 		ids = append(ids, id)
 	}
 	for id, confirmedAt := range r.confirmedCancellations {
-		if r.cancelled[id] != nil {
+		if r.cancelledJobs[id] != nil {
 			continue // included above
 		}
 		if r.now-confirmedAt > limits.CancelNoticeRetention && r.isRecordRemoved(id, confirmedAt) {
@@ -166,7 +166,7 @@
 // isRecordRemoved reports whether the record of a job that had ended at the given time is known to have
 // been removed since. The record is removed only when no task of the job is left.
 func (r *Registry) isRecordRemoved(id string, endedAt time.Duration) bool {
-	return r.Open[id] == nil && r.store.Mirror.KnownThrough > endedAt
+	return r.OpenJobs[id] == nil && r.store.Mirror.KnownThrough > endedAt
 }
 
 // TakeNewCancellations returns the cancellations that this node confirmed to a user or received
--- a/internal/jobs/done_sets.go
+++ b/internal/jobs/done_sets.go
@@ -21,18 +21,18 @@
 // applyDoneSet applies a change of the done set of a job with few tasks.
 func (r *Registry) applyDoneSet(id, _ string, value msgpack.RawMessage, removed bool) {
 	delete(r.orphanDoneSets, id)
-	j := r.Open[id]
-	var encoded string
-	if removed || wire.Decode(value, &encoded) != nil || r.finalized[id] != nil {
+	job := r.OpenJobs[id]
+	var encodedTasks string
+	if removed || wire.Decode(value, &encodedTasks) != nil || r.finalizedJobs[id] != nil {
 		return
 	}
-	if j == nil {
+	if job == nil {
 		r.orphanDoneSets[id] = true
 		return
 	}
-	j.doneSetWritten = true
-	j.durableDone.mergeChunk(0, limits.ChunkTasks, encoded, j.Tasks)
-	j.DoneCount += len(j.Done.mergeChunk(0, limits.ChunkTasks, encoded, j.Tasks))
+	job.doneSetWritten = true
+	job.durableDone.mergeChunk(0, limits.ChunkTasks, encodedTasks, job.Tasks)
+	job.DoneCount += len(job.Done.mergeChunk(0, limits.ChunkTasks, encodedTasks, job.Tasks))
 }
 
 // IsDoneSetKey reports whether a key holds done sets or chunks of them.
@@ -43,9 +43,9 @@
 // DropPendingWrites drops the done-set writes that are pending for a class this node no longer owns.
 func (r *Registry) DropPendingWrites(class string) {
 	r.doneSets.DropPending(class)
-	for _, j := range r.Open {
-		if j.GuardClass == class {
-			j.doneSetRequested = false
+	for _, job := range r.OpenJobs {
+		if job.GuardClass == class {
+			job.doneSetRequested = false
 		}
 	}
 }
@@ -87,60 +87,60 @@
 }
 
 // Prepare writes the job's done set, whose existence means that tasks of the job may be running.
-// The caller repeats the call until the job's Prepared is set, and launches no task before that.
-func (r *Registry) Prepare(j *Job) {
+// The caller repeats the call until the job's Prepared is set, and launches no task before it is set.
+func (r *Registry) Prepare(job *Job) {
 	switch {
-	case j.MayHaveLaunched():
-		j.Prepared = true
-	case j.isPacked():
-		if !j.doneSetRequested {
-			j.doneSetRequested = true
+	case job.MayHaveLaunched():
+		job.Prepared = true
+	case job.isPacked():
+		if !job.doneSetRequested {
+			job.doneSetRequested = true
 			// The wait lets the done sets of many small jobs share one write. Without the wait, jobs
 			// that arrive together would need one write each, and the writes would queue for the write
 			// budget.
 			wait := min(r.store.WriteWait(statestore.PriorityFinish), limits.MaxPrepareWait)
-			r.doneSets.SetUrgent(j.GuardClass, j.ID, j.Done.encodeChunk(0, limits.ChunkTasks), wait)
+			r.doneSets.SetUrgent(job.GuardClass, job.ID, job.Done.encodeChunk(0, limits.ChunkTasks), wait)
 		}
-	case !j.chunkWriteInFlight:
-		r.writeChunk(j, 0, statestore.PriorityRecords)
+	case !job.chunkWriteInFlight:
+		r.writeChunk(job, 0, statestore.PriorityRecords)
 	}
 }
 
 // writeChunk writes chunk chunkIndex of a done set. While a node may run a version that reads only
-// the larger chunks, it writes the larger chunk that contains this one.
-func (r *Registry) writeChunk(j *Job, chunkIndex int, priority statestore.Priority) {
-	j.chunkWriteInFlight = true
+// the larger chunks, it writes the larger chunk that contains chunk chunkIndex.
+func (r *Registry) writeChunk(job *Job, chunkIndex int, priority statestore.Priority) {
+	job.chunkWriteInFlight = true
 	prefix, chunkTasks, keyIndex := keyChunk, limits.ChunkTasks, chunkIndex
 	if r.recordFormat() < 2 {
 		prefix, chunkTasks = keyLargeChunk, limits.Format1ChunkTasks
 		keyIndex = chunkIndex * limits.ChunkTasks / chunkTasks
 	}
-	key := prefix + j.ID + "/" + strconv.Itoa(keyIndex)
-	encoded := j.Done.encodeChunk(keyIndex, chunkTasks)
-	var written []int // dirty chunks that this transaction writes
+	key := prefix + job.ID + "/" + strconv.Itoa(keyIndex)
+	encodedChunk := job.Done.encodeChunk(keyIndex, chunkTasks)
+	var writtenChunks []int // dirty chunks that this transaction writes
 	for dirtyIndex := keyIndex * chunkTasks / limits.ChunkTasks; dirtyIndex < (keyIndex+1)*chunkTasks/limits.ChunkTasks; dirtyIndex++ {
-		if j.dirtyChunks[dirtyIndex] {
-			delete(j.dirtyChunks, dirtyIndex)
-			written = append(written, dirtyIndex)
+		if job.dirtyChunks[dirtyIndex] {
+			delete(job.dirtyChunks, dirtyIndex)
+			writtenChunks = append(writtenChunks, dirtyIndex)
 		}
 	}
 	txn := wire.Txn{
-		Guards: []wire.Guard{r.ownerGuard(j.GuardClass), {Key: keyJob + j.ID, Version: j.version}, {Key: key, Version: j.chunkVersions[key]}},
-		Then:   []wire.Op{{Key: key, Value: doneSetChunk{Done: encoded}}}}
+		Guards: []wire.Guard{r.ownerGuard(job.GuardClass), {Key: keyJob + job.ID, Version: job.version}, {Key: key, Version: job.chunkVersions[key]}},
+		Then:   []wire.Op{{Key: key, Value: doneSetChunk{Done: encodedChunk}}}}
 	r.store.Txn(priority, limits.StoreTimeout*2, txn, func(reply statestore.Reply) {
-		j.chunkWriteInFlight = false
+		job.chunkWriteInFlight = false
 		var txnReply wire.TxnReply
 		if reply.Status == statestore.OK && wire.Decode(reply.Body, &txnReply) == nil {
-			j.chunkVersions[key] = max(j.chunkVersions[key], txnReply.Revision)
-			j.durableDone.mergeChunk(keyIndex, chunkTasks, encoded, j.Tasks)
+			job.chunkVersions[key] = max(job.chunkVersions[key], txnReply.Revision)
+			job.durableDone.mergeChunk(keyIndex, chunkTasks, encodedChunk, job.Tasks)
 			if chunkIndex == 0 {
-				j.Prepared = true
+				job.Prepared = true
 			}
 			return
 		}
-		for _, dirtyIndex := range written { // if the write was applied after all, the mirror supplies its version
-			j.dirtyChunks[dirtyIndex] = true
+		for _, dirtyIndex := range writtenChunks { // if the write was applied after all, the mirror supplies its version
+			job.dirtyChunks[dirtyIndex] = true
 		}
-		r.nextWriteAt[j.ID] = r.now + limits.StoreBackoff
+		r.nextWriteAt[job.ID] = r.now + limits.StoreBackoff
 	})
 }
--- a/internal/jobs/faulty_jobs.go
+++ b/internal/jobs/faulty_jobs.go
@@ -7,18 +7,18 @@
 // MarkFaulty records that an owner considers jobs faulty.
 func (r *Registry) MarkFaulty(ids []string) {
 	for _, id := range ids {
-		if j := r.Open[id]; j != nil {
-			j.MarkedFaulty = true
+		if job := r.OpenJobs[id]; job != nil {
+			job.MarkedFaulty = true
 		}
 	}
 }
 
 // JobsMarkedFaulty returns the jobs that an owner marked as faulty and that still count as faulty,
-// except those in known.
-func (r *Registry) JobsMarkedFaulty(known []string) []string {
+// except those in knownJobs.
+func (r *Registry) JobsMarkedFaulty(knownJobs []string) []string {
 	var ids []string
-	for id, j := range r.Open {
-		if j.MarkedFaulty && j.Faulty() && !slices.Contains(known, id) {
+	for id, job := range r.OpenJobs {
+		if job.MarkedFaulty && job.Faulty() && !slices.Contains(knownJobs, id) {
 			ids = append(ids, id)
 		}
 	}
--- a/internal/jobs/final_states.go
+++ b/internal/jobs/final_states.go
@@ -21,21 +21,21 @@
 // a small job may be removed later (see finalizeTxn). An empty status means that the final state is
 // already written. A completion and a cancellation can't both succeed, because each requires fin/ID
 // to be absent.
-func (r *Registry) finalize(j *Job, status wire.JobState) {
-	j.finalizing = true
-	txn, priority, removeLater := r.finalizeTxn(j, status)
+func (r *Registry) finalize(job *Job, status wire.JobState) {
+	job.finalizing = true
+	txn, priority, removeLater := r.finalizeTxn(job, status)
 	r.store.Txn(priority, limits.StoreTimeout*2, txn, func(reply statestore.Reply) {
-		j.finalizing = false
-		r.nextWriteAt[j.ID] = r.now + limits.StoreBackoff
+		job.finalizing = false
+		r.nextWriteAt[job.ID] = r.now + limits.StoreBackoff
 		if reply.Status == statestore.OK {
-			j.finalizing = true
-			r.handleFinalWritten(j, status, removeLater)
+			job.finalizing = true
+			r.handleFinalWritten(job, status, removeLater)
 			return
 		}
 		// An earlier owner may have written the final state without removing the job's record.
 		var txnReply wire.TxnReply
-		if reply.Status == statestore.Conflict && status != "" && wire.Decode(reply.Body, &txnReply) == nil && slices.Contains(txnReply.Failed, keyFinal+j.ID) {
-			r.readFinalOfOwnedJob(j)
+		if reply.Status == statestore.Conflict && status != "" && wire.Decode(reply.Body, &txnReply) == nil && slices.Contains(txnReply.Failed, keyFinal+job.ID) {
+			r.readFinalOfOwnedJob(job)
 		}
 	})
 }
@@ -43,24 +43,24 @@
 // finalizeTxn returns the transaction that finalizes a job. The record of a small job is removed
 // later, in a batch with others, so that a completion costs only one write while the write budget
 // is scarce. Its done set stays until then, too.
-func (r *Registry) finalizeTxn(j *Job, status wire.JobState) (txn wire.Txn, priority statestore.Priority, removeLater bool) {
-	txn.Guards = []wire.Guard{r.ownerGuard(j.GuardClass), {Key: keyJob + j.ID, Version: j.version}}
+func (r *Registry) finalizeTxn(job *Job, status wire.JobState) (txn wire.Txn, priority statestore.Priority, removeLater bool) {
+	txn.Guards = []wire.Guard{r.ownerGuard(job.GuardClass), {Key: keyJob + job.ID, Version: job.version}}
 	priority = statestore.PriorityProgress
 	if status != "" {
 		priority = statestore.PriorityFinish
-		txn.Guards = append(txn.Guards, wire.Guard{Key: keyFinal + j.ID})
-		txn.Then = append(txn.Then, wire.Op{Key: keyFinal + j.ID, Value: finalState{Status: status, Done: j.DoneCount}})
+		txn.Guards = append(txn.Guards, wire.Guard{Key: keyFinal + job.ID})
+		txn.Then = append(txn.Then, wire.Op{Key: keyFinal + job.ID, Value: finalState{Status: status, Done: job.DoneCount}})
 	}
-	removeLater = status != "" && j.isPacked() && !j.Cancelled
+	removeLater = status != "" && job.isPacked() && !job.Cancelled
 	if !removeLater {
-		txn.Then = append(txn.Then, wire.Op{Remove: keyJob + j.ID})
+		txn.Then = append(txn.Then, wire.Op{Remove: keyJob + job.ID})
 	}
-	if j.Cancelled {
-		txn.Then = append(txn.Then, wire.Op{Remove: keyCancelled + j.ID})
+	if job.Cancelled {
+		txn.Then = append(txn.Then, wire.Op{Remove: keyCancelled + job.ID})
 	}
 	// Chunks that don't fit into the transaction are removed later by removeOrphans. They have
 	// no meaning without the job.
-	for _, key := range slices.Sorted(maps.Keys(j.chunkVersions)) {
+	for _, key := range slices.Sorted(maps.Keys(job.chunkVersions)) {
 		if !removeLater && len(txn.Then) < r.store.MaxTxnOps {
 			txn.Then = append(txn.Then, wire.Op{Remove: key})
 		}
@@ -69,27 +69,27 @@
 }
 
 // handleFinalWritten updates the registry after the transaction that finalized a job.
-func (r *Registry) handleFinalWritten(j *Job, status wire.JobState, removeLater bool) {
+func (r *Registry) handleFinalWritten(job *Job, status wire.JobState, removeLater bool) {
 	if status != "" {
-		r.cacheFinal(j.ID, finalState{Status: status, Done: j.DoneCount})
-		r.log(slog.LevelInfo, "job over", "job", j.ID, "class", j.Class, "status", status, "tasks", j.Tasks,
-			"tookS", math.Round(10*(r.unixTime-j.SubmitUnix))/10, "dueS", j.DeadlineS, "estimateS", j.EstimateS)
+		r.cacheFinal(job.ID, finalState{Status: status, Done: job.DoneCount})
+		r.log(slog.LevelInfo, "job over", "job", job.ID, "class", job.Class, "status", status, "tasks", job.Tasks,
+			"tookS", math.Round(10*(r.unixTime-job.SubmitUnix))/10, "dueS", job.DeadlineS, "estimateS", job.EstimateS)
 	}
 	if removeLater {
-		r.awaitRemoval(j)
+		r.awaitRemoval(job)
 	} else {
-		r.dropOpenJob(j.ID)
+		r.dropOpenJob(job.ID)
 	}
 }
 
 // readFinalOfOwnedJob reads the final state that another owner wrote for a job of this node. If the
 // job completed and none of its tasks is assigned any more, only its record remains to be removed.
-func (r *Registry) readFinalOfOwnedJob(j *Job) {
-	r.store.Get(statestore.PriorityFinish, limits.QueryTimeout, keyFinal+j.ID, func(reply statestore.Reply) {
+func (r *Registry) readFinalOfOwnedJob(job *Job) {
+	r.store.Get(statestore.PriorityFinish, limits.QueryTimeout, keyFinal+job.ID, func(reply statestore.Reply) {
 		final, ok := decodeFinal(reply)
-		if ok && final.Status == wire.StatusDone && r.Open[j.ID] == j && len(j.Assigned) == 0 {
-			r.cacheFinal(j.ID, final)
-			r.awaitRemoval(j)
+		if ok && final.Status == wire.StatusDone && r.OpenJobs[job.ID] == job && len(job.Assigned) == 0 {
+			r.cacheFinal(job.ID, final)
+			r.awaitRemoval(job)
 		}
 	})
 }
@@ -103,24 +103,24 @@
 
 // awaitRemoval moves a job whose final state is written from the open to the finalized jobs, where
 // it stays until its record is removed.
-func (r *Registry) awaitRemoval(j *Job) {
-	delete(r.Open, j.ID)
-	delete(r.cancelled, j.ID)
-	delete(r.nextWriteAt, j.ID)
-	r.finalized[j.ID] = j
+func (r *Registry) awaitRemoval(job *Job) {
+	delete(r.OpenJobs, job.ID)
+	delete(r.cancelledJobs, job.ID)
+	delete(r.nextWriteAt, job.ID)
+	r.finalizedJobs[job.ID] = job
 }
 
 // removeFinalizedRecords removes the records of finalized jobs, many in one transaction. It needs
 // no owner guard, because a final state never changes.
 func (r *Registry) removeFinalizedRecords() {
-	if r.removingFinalized || len(r.finalized) == 0 || !r.store.CanSpareWrites(1) {
+	if r.removingFinalized || len(r.finalizedJobs) == 0 || !r.store.CanSpareWrites(1) {
 		return
 	}
 	var txn wire.Txn
-	for _, id := range slices.Sorted(maps.Keys(r.finalized)) {
+	for _, id := range slices.Sorted(maps.Keys(r.finalizedJobs)) {
 		entry, ok := r.store.Mirror.Get(keyJob + id)
 		if !ok {
-			delete(r.finalized, id)
+			delete(r.finalizedJobs, id)
 			continue
 		}
 		if len(txn.Then) < r.store.MaxWrites() {
@@ -137,11 +137,11 @@
 
 // dropOpenJob removes a job that has ended from the open jobs. Its done set is removed by removeOrphans.
 func (r *Registry) dropOpenJob(id string) {
-	if j := r.Open[id]; j != nil && j.doneSetWritten {
+	if job := r.OpenJobs[id]; job != nil && job.doneSetWritten {
 		r.orphanDoneSets[id] = true
 	}
-	delete(r.Open, id)
-	delete(r.cancelled, id)
+	delete(r.OpenJobs, id)
+	delete(r.cancelledJobs, id)
 	delete(r.nextWriteAt, id)
 }
 
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -52,7 +52,7 @@
 	Cancelled bool
 	// CancelConfirmedAfter is the earliest time at which the cancellation of the job can have been
 	// confirmed to a user. Up to that time this node knew of every cancellation confirmed to
-	// users, and this one was not among them.
+	// users, and the cancellation of this job was not among them.
 	CancelConfirmedAfter time.Duration
 	Done                 TaskSet
 	DoneCount            int
--- a/internal/jobs/lookups.go
+++ b/internal/jobs/lookups.go
@@ -49,17 +49,17 @@
 // Otherwise users would wait until their own timeout whenever a request to the state service got
 // no answer.
 func (r *Registry) expireLookups() {
-	kept := r.unansweredLookups[:0]
+	remaining := r.unansweredLookups[:0]
 	for _, request := range r.unansweredLookups {
 		if !request.answered && r.now >= request.deadline {
 			request.answer(RetryLater())
 		}
 		if !request.answered {
-			kept = append(kept, request)
+			remaining = append(remaining, request)
 		}
 	}
-	clear(r.unansweredLookups[len(kept):])
-	r.unansweredLookups = kept
+	clear(r.unansweredLookups[len(remaining):])
+	r.unansweredLookups = remaining
 }
 
 // sendLookups checks the versions of many jobs' keys in one transaction that writes nothing. If
@@ -84,16 +84,16 @@
 			return
 		}
 		read := stateRead{reply.CallID}
-		guarded := map[string]bool{}
+		guardedKeys := map[string]bool{}
 		for _, guard := range txn.Guards {
-			guarded[guard.Key] = true
+			guardedKeys[guard.Key] = true
 		}
-		failed := failedKeys(txnReply)
+		failedGuards := failedKeys(txnReply)
 		for _, request := range group {
 			switch {
-			case failed[keyFinal+request.jobID]:
+			case failedGuards[keyFinal+request.jobID]:
 				r.answerWithFinal(request)
-			case guarded[keyJob+request.jobID] && !failed[keyJob+request.jobID]:
+			case guardedKeys[keyJob+request.jobID] && !failedGuards[keyJob+request.jobID]:
 				r.answerFromRead(read, request.waiter, Answer{Status: 404, Body: wire.ErrorBody{Error: "no such job"}})
 			case request.cancel:
 				r.readVersionAndCancel(request)
@@ -113,13 +113,13 @@
 		if request.answered {
 			continue
 		}
-		j := r.Open[request.jobID]
-		if request.cancel && j != nil {
-			r.writeCancellation(request, j.version)
+		job := r.OpenJobs[request.jobID]
+		if request.cancel && job != nil {
+			r.writeCancellation(request, job.version)
 			continue
 		}
 		txn.Guards = append(txn.Guards, wire.Guard{Key: keyFinal + request.jobID})
-		if j == nil {
+		if job == nil {
 			txn.Guards = append(txn.Guards, wire.Guard{Key: keyJob + request.jobID})
 		}
 		group = append(group, request)
--- a/internal/jobs/registry.go
+++ b/internal/jobs/registry.go
@@ -45,10 +45,10 @@
 	log      func(level slog.Level, msg string, args ...any)
 	now      time.Duration
 	unixTime float64 // time of day in Unix seconds, for the log
-	// Open holds the unfinished jobs, and the cancelled jobs of which tasks may be left, by ID.
-	Open map[string]*Job
-	// cancelled holds the jobs in Open that are cancelled.
-	cancelled map[string]*Job
+	// OpenJobs holds the unfinished jobs, and the cancelled jobs of which tasks may be left, by ID.
+	OpenJobs map[string]*Job
+	// cancelledJobs holds the jobs in OpenJobs that are cancelled.
+	cancelledJobs map[string]*Job
 	// WithheldAnswers counts answers that were not sent because the state was read before the
 	// request arrived. Each one is a bug in this program.
 	WithheldAnswers int
@@ -77,8 +77,8 @@
 	orphanChunks      map[string]bool // keys of done-set chunks without a job
 	removingOrphans   bool
 	doneSets          *statestore.RecordTable
-	// finalized holds jobs whose final state is written and whose records await removal.
-	finalized         map[string]*Job
+	// finalizedJobs holds the jobs whose final state is written and whose records await removal.
+	finalizedJobs     map[string]*Job
 	removingFinalized bool
 	orphanDoneSets    map[string]bool // IDs of done sets under u/s/ without a job
 
@@ -90,8 +90,8 @@
 
 // New returns an empty registry.
 func New(store *statestore.Store, guard func(class string) wire.Guard, format func() int, log func(slog.Level, string, ...any)) *Registry {
-	r := &Registry{store: store, ownerGuard: guard, recordFormat: format, log: log, Open: map[string]*Job{}, cancelled: map[string]*Job{}, finalStates: map[string]finalState{}, confirmedCancellations: map[string]time.Duration{}, submissionsByID: map[string]*submission{},
-		cancellationsKnownThrough: ConfirmedAtAnyTime, nextWriteAt: map[string]time.Duration{}, orphanChunks: map[string]bool{}, orphanDoneSets: map[string]bool{}, finalized: map[string]*Job{}}
+	r := &Registry{store: store, ownerGuard: guard, recordFormat: format, log: log, OpenJobs: map[string]*Job{}, cancelledJobs: map[string]*Job{}, finalStates: map[string]finalState{}, confirmedCancellations: map[string]time.Duration{}, submissionsByID: map[string]*submission{},
+		cancellationsKnownThrough: ConfirmedAtAnyTime, nextWriteAt: map[string]time.Duration{}, orphanChunks: map[string]bool{}, orphanDoneSets: map[string]bool{}, finalizedJobs: map[string]*Job{}}
 	r.doneSets = statestore.NewRecordTable(store, keyDoneSets, guard, r.applyDoneSet)
 	return r
 }
@@ -124,11 +124,11 @@
 		r.log(slog.LevelError, "unreadable job record", "job", id)
 		return
 	}
-	if r.Open[id] != nil || r.finalized[id] != nil {
+	if r.OpenJobs[id] != nil || r.finalizedJobs[id] != nil {
 		return
 	}
-	j := newJob(spec, change.Entry.Version)
-	r.Open[id] = j
+	job := newJob(spec, change.Entry.Version)
+	r.OpenJobs[id] = job
 	if stored, ok := r.doneSets.StoredValue(id); ok {
 		r.applyDoneSet(id, "", stored, false)
 	}
@@ -138,13 +138,13 @@
 	_, cancelled := r.store.Mirror.Get(keyCancelled + id)
 	if cancelled || r.finalStates[id].Status == wire.StatusCancelled {
 		// The time of the cancellation is unknown: this node may have read it long ago.
-		r.setCancelled(j, ConfirmedAtAnyTime)
+		r.setCancelled(job, ConfirmedAtAnyTime)
 	}
 }
 
 // newJob returns the job described by a record.
 func newJob(spec *wire.Job, version uint64) *Job {
-	j := &Job{
+	job := &Job{
 		Job:           spec,
 		version:       version,
 		Done:          newTaskSet(spec.Tasks),
@@ -157,28 +157,28 @@
 		PlacementKey:  strings.Join(spec.Types, " ") + "|" + spec.Zone + "|" + strconv.FormatBool(spec.Spot),
 	}
 	if len(spec.Types) > 0 {
-		j.GuardClass = spec.Types[0]
+		job.GuardClass = spec.Types[0]
 	}
 	for _, class := range spec.Types {
-		j.TypeSet[class] = true
+		job.TypeSet[class] = true
 	}
-	return j
+	return job
 }
 
 // applyJobRemoval applies the removal of a job's record.
 func (r *Registry) applyJobRemoval(id string) {
-	if j := r.Open[id]; j != nil {
+	if job := r.OpenJobs[id]; job != nil {
 		// Every chunk of the job that is still in the mirror is marked as an orphan. The mark of a
 		// chunk that the same transaction removed is deleted when its removal is applied, right
 		// after this change.
-		for key := range j.chunkVersions {
+		for key := range job.chunkVersions {
 			r.markOrphanChunk(key)
 		}
 	}
 	r.dropOpenJob(id)
-	if j := r.finalized[id]; j != nil {
-		delete(r.finalized, id)
-		if j.doneSetWritten {
+	if job := r.finalizedJobs[id]; job != nil {
+		delete(r.finalizedJobs, id)
+		if job.doneSetWritten {
 			r.orphanDoneSets[id] = true
 		}
 	}
@@ -188,26 +188,26 @@
 func (r *Registry) applyChunk(change statestore.Change, chunkTasks int) {
 	id, indexText, ok := strings.Cut(change.Key[len(keyChunk):], "/") // keyLargeChunk has the same length
 	index, err := strconv.Atoi(indexText)
-	j := r.Open[id]
+	job := r.OpenJobs[id]
 	if change.Removed {
 		delete(r.orphanChunks, change.Key)
-	} else if j == nil {
+	} else if job == nil {
 		r.orphanChunks[change.Key] = true
 	}
-	if !ok || err != nil || j == nil || index < 0 || index*chunkTasks >= j.Tasks {
+	if !ok || err != nil || job == nil || index < 0 || index*chunkTasks >= job.Tasks {
 		return
 	}
 	if change.Removed {
-		delete(j.chunkVersions, change.Key)
+		delete(job.chunkVersions, change.Key)
 		return
 	}
 	var chunk doneSetChunk
 	if wire.Decode(change.Entry.Value, &chunk) != nil {
 		return
 	}
-	j.chunkVersions[change.Key] = change.Entry.Version
-	j.durableDone.mergeChunk(index, chunkTasks, chunk.Done, j.Tasks)
-	j.DoneCount += len(j.Done.mergeChunk(index, chunkTasks, chunk.Done, j.Tasks))
+	job.chunkVersions[change.Key] = change.Entry.Version
+	job.durableDone.mergeChunk(index, chunkTasks, chunk.Done, job.Tasks)
+	job.DoneCount += len(job.Done.mergeChunk(index, chunkTasks, chunk.Done, job.Tasks))
 }
 
 // Tick sends the queued user requests, and writes the progress and the completions of the jobs
@@ -230,37 +230,37 @@
 	}
 	r.removeFinalizedRecords()
 	for _, id := range r.sortedIDs() {
-		j := r.Open[id]
-		if j.Active && !j.finalizing && r.now >= r.nextWriteAt[id] {
-			r.writeJob(j, flush, allTasksLocated)
+		job := r.OpenJobs[id]
+		if job.Active && !job.finalizing && r.now >= r.nextWriteAt[id] {
+			r.writeJob(job, flush, allTasksLocated)
 		}
 	}
 	r.doneSets.Write()
 }
 
 // writeJob finalizes a job that has ended. Otherwise it writes the job's progress if flush is set.
-func (r *Registry) writeJob(j *Job, flush bool, allTasksLocated func(*Job) bool) {
+func (r *Registry) writeJob(job *Job, flush bool, allTasksLocated func(*Job) bool) {
 	switch {
-	case j.Cancelled:
-		if len(j.Assigned) == 0 && allTasksLocated(j) && !j.chunkWriteInFlight {
-			r.finalize(j, "")
+	case job.Cancelled:
+		if len(job.Assigned) == 0 && allTasksLocated(job) && !job.chunkWriteInFlight {
+			r.finalize(job, "")
 		}
-	case j.DoneCount == j.Tasks:
-		if !j.chunkWriteInFlight {
-			r.finalize(j, wire.StatusDone)
+	case job.DoneCount == job.Tasks:
+		if !job.chunkWriteInFlight {
+			r.finalize(job, wire.StatusDone)
 		}
-	case !flush || len(j.dirtyChunks) == 0:
-	case j.isPacked():
-		clear(j.dirtyChunks)
-		r.doneSets.Set(j.GuardClass, j.ID, j.Done.encodeChunk(0, limits.ChunkTasks), limits.RecordScanInterval)
-	case !j.chunkWriteInFlight:
-		r.writeChunk(j, slices.Min(slices.Collect(maps.Keys(j.dirtyChunks))), statestore.PriorityProgress)
+	case !flush || len(job.dirtyChunks) == 0:
+	case job.isPacked():
+		clear(job.dirtyChunks)
+		r.doneSets.Set(job.GuardClass, job.ID, job.Done.encodeChunk(0, limits.ChunkTasks), limits.RecordScanInterval)
+	case !job.chunkWriteInFlight:
+		r.writeChunk(job, slices.Min(slices.Collect(maps.Keys(job.dirtyChunks))), statestore.PriorityProgress)
 	}
 }
 
 func (r *Registry) sortedIDs() []string {
-	ids := make([]string, 0, len(r.Open))
-	for id := range r.Open {
+	ids := make([]string, 0, len(r.OpenJobs))
+	for id := range r.OpenJobs {
 		ids = append(ids, id)
 	}
 	sort.Strings(ids)
@@ -268,9 +268,9 @@
 }
 
 // SetDisplayCounts records the counts that an owner reported. They are only for display.
-func (r *Registry) SetDisplayCounts(id string, done, running int) {
-	if j := r.Open[id]; j != nil {
-		j.displayDone, j.displayRunning = done, running
+func (r *Registry) SetDisplayCounts(id string, doneCount, runningCount int) {
+	if job := r.OpenJobs[id]; job != nil {
+		job.displayDone, job.displayRunning = doneCount, runningCount
 	}
 }
 
@@ -279,11 +279,11 @@
 		return wire.JobStatus{ID: id, Status: final.Status, Done: final.Done}
 	}
 	status := wire.JobStatus{ID: id, Status: wire.StatusPending}
-	if j := r.Open[id]; j != nil {
-		if j.Active {
-			status.Done, status.Running = j.DoneCount, j.RunningCount()
+	if job := r.OpenJobs[id]; job != nil {
+		if job.Active {
+			status.Done, status.Running = job.DoneCount, job.RunningCount()
 		} else {
-			status.Done, status.Running = max(j.DoneCount, j.displayDone), j.displayRunning
+			status.Done, status.Running = max(job.DoneCount, job.displayDone), job.displayRunning
 		}
 		if status.Running > 0 {
 			status.Status = wire.StatusRunning
--- a/internal/jobs/registry_test.go
+++ b/internal/jobs/registry_test.go
@@ -23,20 +23,20 @@
 		}
 	}
 	for chunkTasks, maxBytes := range map[int]int{limits.ChunkTasks: 1500, limits.Format1ChunkTasks: 3500} { // a value holds 2048 or 4096 bytes
-		decoded := newTaskSet(limits.MaxTasks)
-		added := 0
+		decodedSet := newTaskSet(limits.MaxTasks)
+		addedCount := 0
 		for index := 0; index*chunkTasks < limits.MaxTasks; index++ {
 			encoded := set.encodeChunk(index, chunkTasks)
 			if len(encoded) > maxBytes {
 				t.Errorf("chunk %d of %d tasks has %d bytes", index, chunkTasks, len(encoded))
 			}
-			added += len(decoded.mergeChunk(index, chunkTasks, encoded, limits.MaxTasks))
-			if addedAgain := decoded.mergeChunk(index, chunkTasks, encoded, limits.MaxTasks); len(addedAgain) != 0 {
+			addedCount += len(decodedSet.mergeChunk(index, chunkTasks, encoded, limits.MaxTasks))
+			if addedAgain := decodedSet.mergeChunk(index, chunkTasks, encoded, limits.MaxTasks); len(addedAgain) != 0 {
 				t.Errorf("chunk %d added %d tasks twice", index, len(addedAgain))
 			}
 		}
-		if string(decoded) != string(set) || added != limits.MaxTasks*2/3 {
-			t.Errorf("%d tasks were decoded, want two thirds of the maximum", added)
+		if string(decodedSet) != string(set) || addedCount != limits.MaxTasks*2/3 {
+			t.Errorf("%d tasks were decoded, want two thirds of the maximum", addedCount)
 		}
 	}
 	if got := newTaskSet(10).mergeChunk(0, limits.ChunkTasks, "//////8", 10); len(got) != 10 {
@@ -94,7 +94,7 @@
 	h.store.Mirror.Put(keyJob+id, h.encode(&wire.Job{ID: id, Tasks: tasks, Types: []string{"c"}}), version)
 	h.tick()
 	h.txns = nil
-	return h.registry.Open[id]
+	return h.registry.OpenJobs[id]
 }
 
 // TestRepeatedSubmissionCreatesOneJob checks that a submission and its repeat share one
@@ -165,16 +165,16 @@
 // 2 s when the state service does not reply.
 func TestQueriesAreAnsweredInTime(t *testing.T) {
 	h := newHarness(t)
-	answered := map[string]time.Duration{}
-	started := map[string]time.Duration{}
+	answeredAt := map[string]time.Duration{}
+	startedAt := map[string]time.Duration{}
 	for i := 0; i < 10; i++ {
 		id := fmt.Sprintf("job-%d", i)
-		started[id] = h.now
+		startedAt[id] = h.now
 		h.registry.Query(h.now, id, func(answer Answer) {
 			if answer.Status != 503 {
 				t.Errorf("%s: status %d without a reply of the state service", id, answer.Status)
 			}
-			answered[id] = h.now
+			answeredAt[id] = h.now
 		})
 		for k := 0; k < 3; k++ {
 			h.tick()
@@ -183,8 +183,8 @@
 	for k := 0; k < 30; k++ {
 		h.tick()
 	}
-	for id, at := range started {
-		if took := answered[id] - at; answered[id] == 0 || took > 1900*time.Millisecond {
+	for id, at := range startedAt {
+		if took := answeredAt[id] - at; answeredAt[id] == 0 || took > 1900*time.Millisecond {
 			t.Errorf("%s was answered after %v", id, took)
 		}
 	}
@@ -210,7 +210,7 @@
 		t.Errorf("guards %v", txn.Guards)
 	}
 	h.store.HandleReply(h.now, h.txns[0].ID, 409, h.encode(wire.TxnReply{Failed: []string{keyFinal + "job-1"}}))
-	if h.registry.Open["job-1"] == nil {
+	if h.registry.OpenJobs["job-1"] == nil {
 		t.Fatal("the job was dropped although its completion was refused")
 	}
 	h.store.Mirror.Put(keyCancelled+"job-1", h.encode(true), 7)
@@ -236,8 +236,8 @@
 	}
 	h.tick()
 	h.registry.Apply(statestore.Change{Key: keyJob + "job-1", Removed: true})
-	removed := 0
-	for i := 0; i < 60 && removed < 7; i++ {
+	removedCount := 0
+	for i := 0; i < 60 && removedCount < 7; i++ {
 		h.txns = nil
 		h.tick()
 		for _, call := range h.txns {
@@ -245,13 +245,13 @@
 				if !strings.HasPrefix(op.Remove, keyLargeChunk+"job-1/") {
 					t.Errorf("unexpected operation %+v", op)
 				}
-				removed++
+				removedCount++
 			}
 			h.store.HandleReply(h.now, call.ID, 200, h.encode(wire.TxnReply{Revision: 99}))
 		}
 	}
-	if removed != 7 {
-		t.Errorf("%d chunks were removed, want 7", removed)
+	if removedCount != 7 {
+		t.Errorf("%d chunks were removed, want 7", removedCount)
 	}
 }
 
@@ -265,9 +265,9 @@
 		return answer
 	}
 	h.store.SetShare(0.001, 0.001) // one write per second
-	accepted := 0
-	for ; accepted < 1000; accepted++ {
-		answer := submit(fmt.Sprintf("job-%d", accepted))
+	acceptedCount := 0
+	for ; acceptedCount < 1000; acceptedCount++ {
+		answer := submit(fmt.Sprintf("job-%d", acceptedCount))
 		if answer.Status == 429 && answer.RetryAfter > 0 {
 			break
 		}
@@ -276,7 +276,7 @@
 		}
 		h.store.Txn(statestore.PriorityUser, 0, wire.Txn{Then: []wire.Op{{Key: "x"}}}, func(statestore.Reply) {})
 	}
-	if accepted == 1000 {
+	if acceptedCount == 1000 {
 		t.Error("1000 submissions were accepted although the write budget is used up")
 	}
 	h = newHarness(t)
--- a/internal/jobs/submissions.go
+++ b/internal/jobs/submissions.go
@@ -20,7 +20,7 @@
 
 // IsFull reports whether the limit of waiting requests or of open jobs is reached.
 func (r *Registry) IsFull() bool {
-	return r.waitingRequests >= limits.MaxWaitingRequests || len(r.Open) >= limits.MaxOpenJobs
+	return r.waitingRequests >= limits.MaxWaitingRequests || len(r.OpenJobs) >= limits.MaxOpenJobs
 }
 
 // IsAccepted reports whether the job is certain to have been accepted.
@@ -28,15 +28,15 @@
 	if _, ok := r.finalStates[id]; ok {
 		return true
 	}
-	return r.Open[id] != nil
+	return r.OpenJobs[id] != nil
 }
 
 // Submit accepts a job. One transaction makes it durable, unless the job exists already.
 func (r *Registry) Submit(now time.Duration, job *wire.Job, answer func(Answer)) {
 	r.now = max(r.now, now)
-	w := r.newWaiter(job.ID, limits.SubmitTimeout, answer)
+	request := r.newWaiter(job.ID, limits.SubmitTimeout, answer)
 	if sub := r.submissionsByID[job.ID]; sub != nil {
-		r.joinSubmission(sub, w)
+		r.joinSubmission(sub, request)
 		return
 	}
 	if r.IsFull() {
@@ -52,7 +52,7 @@
 		answer(Answer{Status: 429, Body: wire.ErrorBody{Error: "the state service's budget is used up"}, RetryAfter: int(math.Ceil(wait.Seconds()))})
 		return
 	}
-	sub := &submission{job: job, waiters: []*waiter{w}}
+	sub := &submission{job: job, waiters: []*waiter{request}}
 	r.submissionsByID[job.ID] = sub
 	r.waitingRequests++
 	r.queuedSubmissions = append(r.queuedSubmissions, sub)
@@ -60,12 +60,12 @@
 
 // joinSubmission makes a repeated submission wait for the result of the unfinished submission of the
 // same job. If the job is already known to exist, the repeated submission gets a lookup of its own.
-func (r *Registry) joinSubmission(sub *submission, w *waiter) {
+func (r *Registry) joinSubmission(sub *submission, request *waiter) {
 	if sub.jobExists {
-		r.startLookup(&lookup{waiter: w})
+		r.startLookup(&lookup{waiter: request})
 		return
 	}
-	sub.waiters = append(sub.waiters, w)
+	sub.waiters = append(sub.waiters, request)
 }
 
 // closeSubmission removes a submission that no longer waits for a result. If a user submits the job
@@ -80,22 +80,22 @@
 // failSubmission asks all users who wait for a submission to retry later.
 func (r *Registry) failSubmission(sub *submission) {
 	r.closeSubmission(sub)
-	for _, w := range sub.waiters {
-		w.answer(RetryLater())
+	for _, request := range sub.waiters {
+		request.answer(RetryLater())
 	}
 }
 
 // sendSubmissions groups the queued submissions into transactions.
 func (r *Registry) sendSubmissions() {
 	for len(r.queuedSubmissions) > 0 {
-		n := 1
+		groupSize := 1
 		if !r.queuedSubmissions[0].ownTransaction {
-			for n < len(r.queuedSubmissions) && n < r.store.MaxWrites() && !r.queuedSubmissions[n].ownTransaction {
-				n++
+			for groupSize < len(r.queuedSubmissions) && groupSize < r.store.MaxWrites() && !r.queuedSubmissions[groupSize].ownTransaction {
+				groupSize++
 			}
 		}
-		group := r.queuedSubmissions[:n:n]
-		r.queuedSubmissions = r.queuedSubmissions[n:]
+		group := r.queuedSubmissions[:groupSize:groupSize]
+		r.queuedSubmissions = r.queuedSubmissions[groupSize:]
 		r.commitSubmissions(group)
 	}
 	r.queuedSubmissions = nil
@@ -135,18 +135,18 @@
 
 // failedKeys returns the keys whose guards failed.
 func failedKeys(txnReply wire.TxnReply) map[string]bool {
-	failed := map[string]bool{}
+	failedGuards := map[string]bool{}
 	for _, key := range txnReply.Failed {
-		failed[key] = true
+		failedGuards[key] = true
 	}
-	return failed
+	return failedGuards
 }
 
 // handleAccepted answers submissions that have become durable.
 func (r *Registry) handleAccepted(group []*submission, read stateRead, revision uint64) {
 	for _, sub := range group {
 		// The mirror may already contain the job, or even have seen its removal.
-		if r.Open[sub.job.ID] == nil && r.store.Mirror.Revision < revision {
+		if r.OpenJobs[sub.job.ID] == nil && r.store.Mirror.Revision < revision {
 			if raw, err := wire.Encode(sub.job); err == nil {
 				r.store.Mirror.Put(keyJob+sub.job.ID, raw, revision)
 			}
@@ -162,24 +162,24 @@
 // another node may have confirmed to a user that the job is cancelled, and "pending" would be a stale
 // answer.
 func (r *Registry) answerAccepted(sub *submission, read stateRead) {
-	pending := wire.JobStatus{ID: sub.job.ID, Status: wire.StatusPending}
-	for i, w := range sub.waiters {
+	pendingStatus := wire.JobStatus{ID: sub.job.ID, Status: wire.StatusPending}
+	for i, request := range sub.waiters {
 		switch {
 		case i == 0:
-			r.answerFromRead(read, w, Answer{Status: 201, Body: pending})
-		case read.isFreshFor(w):
-			r.answerFromRead(read, w, statusAnswer(pending))
+			r.answerFromRead(read, request, Answer{Status: 201, Body: pendingStatus})
+		case read.isFreshFor(request):
+			r.answerFromRead(read, request, statusAnswer(pendingStatus))
 		default:
-			r.startLookup(&lookup{waiter: w})
+			r.startLookup(&lookup{waiter: request})
 		}
 	}
 }
 
 // handleConflict looks up the current state for those submissions of a group whose job exists
 // already, and sends the others again.
-func (r *Registry) handleConflict(group []*submission, failed map[string]bool) {
+func (r *Registry) handleConflict(group []*submission, failedGuards map[string]bool) {
 	for _, sub := range group {
-		if failed[keyJob+sub.job.ID] || failed[keyFinal+sub.job.ID] {
+		if failedGuards[keyJob+sub.job.ID] || failedGuards[keyFinal+sub.job.ID] {
 			r.lookUpExisting(sub)
 		} else {
 			r.resubmit(sub)
@@ -188,18 +188,18 @@
 }
 
 // lookUpExisting looks up the state of a job that had already been accepted when it was submitted again.
-// Every waiting user gets a separate lookup, including users who join before the first one is answered:
+// Every waiting user gets a separate lookup, including users who join before the first lookup is answered:
 // a shared answer could have been read before a later request arrived, and would be stale for it.
 func (r *Registry) lookUpExisting(sub *submission) {
 	sub.jobExists = true
-	first := sub.waiters[0]
-	reply := first.reply
-	first.reply = func(a Answer) {
+	firstWaiter := sub.waiters[0]
+	reply := firstWaiter.reply
+	firstWaiter.reply = func(a Answer) {
 		r.closeSubmission(sub)
 		reply(a)
 	}
-	for _, w := range sub.waiters {
-		r.startLookup(&lookup{waiter: w})
+	for _, request := range sub.waiters {
+		r.startLookup(&lookup{waiter: request})
 	}
 }
 
--- a/internal/jobs/task_set.go
+++ b/internal/jobs/task_set.go
@@ -26,7 +26,7 @@
 
 // mergeChunk adds the tasks below limit of an encoded chunk of chunkTasks tasks, and returns those
 // that were not in the set.
-func (s TaskSet) mergeChunk(index, chunkTasks int, encoded string, limit int) (added []int) {
+func (s TaskSet) mergeChunk(index, chunkTasks int, encoded string, limit int) (addedTasks []int) {
 	octets, err := base64.RawStdEncoding.DecodeString(encoded)
 	if err != nil {
 		return nil
@@ -36,9 +36,9 @@
 			task := index*chunkTasks + octetIndex*8 + bit
 			if octet&(1<<bit) != 0 && task < limit && !s.Has(task) {
 				s.Add(task)
-				added = append(added, task)
+				addedTasks = append(addedTasks, task)
 			}
 		}
 	}
-	return added
+	return addedTasks
 }
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -17,7 +17,7 @@
 	MaxStoreBodyBytes = 8 << 20
 	// MaxTasks is the most tasks that one job may have, as the protocol requires.
 	MaxTasks = 100_000
-	// MaxNestingDepth bounds the nesting of messages; those of the protocol have four levels.
+	// MaxNestingDepth bounds the nesting of messages; the messages of the protocol have four levels.
 	MaxNestingDepth = 16
 	// MaxTextBytes bounds free text that a job record keeps, so that the record
 	// fits the smallest value size of the state service.
@@ -363,7 +363,7 @@
 	MaxDirectOrdersInFlight = 24
 	// OrderConnectionShare is the fraction of max_sockets that idle connections to workers may use. A
 	// direct order costs 76 us of CPU time on a kept connection, and 198 us on a new one. A machine in
-	// use gets one every half minute or so.
+	// use gets a direct order about every half minute.
 	OrderConnectionShare = 0.25
 	// OrderBufferBytes is the size of each of the two buffers of a connection to a worker. Most
 	// answers are a heartbeat with a few tasks, and hundreds of connections are kept.
@@ -407,8 +407,9 @@
 
 // Scheduling of gangs.
 const (
-	// GangHoldAge is the age from which machines are reserved for a gang that fits nowhere.
-	GangHoldAge = 60 * time.Second
+	// GangReservationAge is the time after a gang's submission from which machines are reserved for the
+	// gang if it fits nowhere.
+	GangReservationAge = 60 * time.Second
 	// GangReserveFactor is the capacity reserved for gangs that should start soon, as a multiple of the
 	// CPUs that such gangs recently requested at one time. MaxGangReserveShare bounds this capacity as a
 	// fraction of all CPUs. GangDemandHalfLife is the half-life of the recorded demand.
@@ -456,14 +457,14 @@
 
 // Prevention of starvation: even under overload, every job starts within four minutes.
 const (
-	// StartOverdueAfter is the age from which a job that has not started goes first, with up to
-	// MaxOverdueStartTasks tasks. A machine is reserved for it if it fits nowhere. A fetch, a boot and
-	// a long task that must end first fit in the rest of the four minutes.
+	// StartOverdueAfter is the time after submission from which a job that has not started goes first,
+	// with up to MaxOverdueStartTasks tasks. A machine is reserved for the job if it fits nowhere. A
+	// fetch, a boot and a long task that must end first fit in the rest of the four minutes.
 	StartOverdueAfter    = 120 * time.Second
 	MaxOverdueStartTasks = 2
-	// MaxHeldShare bounds the machines that may be reserved for overdue jobs: one machine plus this
+	// MaxReservedShare bounds the machines that may be reserved for overdue jobs: one machine plus this
 	// fraction of all machines.
-	MaxHeldShare = 0.02
+	MaxReservedShare = 0.02
 )
 
 // Limits and timeouts of the controller process, its queues and its connections.
@@ -477,7 +478,7 @@
 	InboxSize = 1024
 	// QueryQueueSize bounds the users' queries that wait for the event loop. A query waits up to
 	// QueryEnqueueTimeout for room in the queue, and then up to QueryAnswerTimeout for its answer. Users
-	// stop waiting after 2 s, so they are asked to try again before that.
+	// stop waiting after 2 s, so they are asked to try again before that time.
 	QueryQueueSize      = 64
 	QueryEnqueueTimeout = 300 * time.Millisecond
 	QueryAnswerTimeout  = 1600 * time.Millisecond
--- a/internal/ownership/cancellations.go
+++ b/internal/ownership/cancellations.go
@@ -28,14 +28,14 @@
 	return max(n.store.Mirror.KnownThrough, n.peerKnownThrough, allPeers)
 }
 
-// RecordPeerCancellations records a peer's reply to a request sent at sent. complete reports whether the
-// reply includes all cancellations that the peer itself confirmed. lag is the age of the peer's mirror
-// at the time of the reply: the reply also includes all cancellations that any node confirmed up to lag
-// before the reply.
-func (n *Node) RecordPeerCancellations(peer string, sent time.Duration, complete bool, lag time.Duration) {
+// RecordPeerCancellations records a peer's reply to a request. sentAt is when the request was sent.
+// complete reports whether the reply includes all cancellations that the peer itself confirmed. lag is
+// the age of the peer's mirror at the time of the reply: the reply also includes all cancellations that
+// any node confirmed up to lag before the reply.
+func (n *Node) RecordPeerCancellations(peer string, sentAt time.Duration, complete bool, lag time.Duration) {
 	if !complete {
 		return
 	}
-	n.peerReportedThrough[peer] = max(n.peerReportedThrough[peer], sent)
-	n.peerKnownThrough = max(n.peerKnownThrough, sent-time.Duration(float64(lag)*(1+limits.ClockDrift)))
+	n.peerReportedThrough[peer] = max(n.peerReportedThrough[peer], sentAt)
+	n.peerKnownThrough = max(n.peerKnownThrough, sentAt-time.Duration(float64(lag)*(1+limits.ClockDrift)))
 }
--- a/internal/ownership/extension.go
+++ b/internal/ownership/extension.go
@@ -45,15 +45,15 @@
 // reaches.
 func (n *Node) Uptime() time.Duration { return n.now - n.start }
 
-// RecordExtension records a peer's reply to an extension request that was sent at sent. uptime is the
-// peer's uptime when it replied, or 0 if the peer's version does not report it.
-func (n *Node) RecordExtension(peer string, sent time.Duration, granted bool, uptime time.Duration) {
+// RecordExtension records a peer's reply to an extension request. sentAt is when the request was
+// sent. uptime is the peer's uptime when it replied, or 0 if the peer's version does not report it.
+func (n *Node) RecordExtension(peer string, sentAt time.Duration, granted bool, uptime time.Duration) {
 	if !granted || !n.uptimeCoversGap(peer, uptime) {
 		n.extensions[peer] = 0
 		return
 	}
-	n.extensions[peer] = sent + time.Duration(float64(limits.ExtensionTTL)*(1-limits.ClockDrift))
-	n.noTakeoverUntil[peer] = max(n.noTakeoverUntil[peer], sent+time.Duration(float64(limits.GrantTTL)*(1-limits.ClockDrift)))
+	n.extensions[peer] = sentAt + time.Duration(float64(limits.ExtensionTTL)*(1-limits.ClockDrift))
+	n.noTakeoverUntil[peer] = max(n.noTakeoverUntil[peer], sentAt+time.Duration(float64(limits.GrantTTL)*(1-limits.ClockDrift)))
 }
 
 // uptimeCoversGap reports whether a peer with the given uptime would have a record of a takeover from
--- a/internal/ownership/handover.go
+++ b/internal/ownership/handover.go
@@ -10,11 +10,11 @@
 )
 
 // releaseClasses maps the given classes, which are being handed over, to the successor, and removes this
-// node's claims to them. If the write limit allows, it does so in one transaction, so that one node gets
-// all the classes.
+// node's claims to them. If the write limit allows, one transaction makes all these changes, so that one
+// node gets all the classes.
 func (n *Node) releaseClasses(classes []string) {
-	next := n.successor()
-	if len(classes) == 0 || next == "" {
+	successor := n.successor()
+	if len(classes) == 0 || successor == "" {
 		return
 	}
 	sort.Strings(classes)
@@ -22,7 +22,7 @@
 	for _, class := range classes[:min(len(classes), max(1, n.store.MaxWrites()/2))] {
 		ownerKey, mappingKey := keyOwner+keySegment(class), keyMapping+keySegment(class)
 		txn.Guards = append(txn.Guards, wire.Guard{Key: ownerKey, Version: n.owners[class].version}, wire.Guard{Key: mappingKey, Version: n.mapping[class].version})
-		txn.Then = append(txn.Then, wire.Op{Remove: ownerKey}, wire.Op{Key: mappingKey, Value: nodeRecord{Node: next, HandedOver: true}})
+		txn.Then = append(txn.Then, wire.Op{Remove: ownerKey}, wire.Op{Key: mappingKey, Value: nodeRecord{Node: successor, HandedOver: true}})
 	}
 	n.submit("release", txn)
 }
@@ -32,13 +32,13 @@
 // owner appears healthy. preferred is a node that the workers reach, or "" if none is known.
 func (n *Node) HandOver(preferred string) {
 	n.preferredSuccessor = preferred
-	next := n.successor()
-	if next == "" || !n.LeaseValid() {
+	successor := n.successor()
+	if successor == "" || !n.LeaseValid() {
 		return
 	}
 	for _, class := range slices.Sorted(maps.Keys(n.claims)) {
 		claim := n.claims[class]
-		n.log(slog.LevelInfo, "class handed over", "class", class, "term", claim.Term, "to", next)
+		n.log(slog.LevelInfo, "class handed over", "class", class, "term", claim.Term, "to", successor)
 		n.handingOver[class] = claim.Term
 	}
 	n.dropClaims()
@@ -50,20 +50,20 @@
 	if _, alive := n.nodes[n.preferredSuccessor]; alive && n.preferredSuccessor != n.Name {
 		return n.preferredSuccessor
 	}
-	first, next := "", ""
+	firstPeer, nextPeer := "", ""
 	for name := range n.nodes {
 		if name == n.Name {
 			continue
 		}
-		if first == "" || name < first {
-			first = name
+		if firstPeer == "" || name < firstPeer {
+			firstPeer = name
 		}
-		if name > n.Name && (next == "" || name < next) {
-			next = name
+		if name > n.Name && (nextPeer == "" || name < nextPeer) {
+			nextPeer = name
 		}
 	}
-	if next == "" {
-		return first
+	if nextPeer == "" {
+		return firstPeer
 	}
-	return next
+	return nextPeer
 }
--- a/internal/ownership/lease.go
+++ b/internal/ownership/lease.go
@@ -63,8 +63,8 @@
 
 // extendLease sets the end of the lease. The lease is counted from the time at which the request was
 // sent, less the allowed clock drift and a margin.
-func (n *Node) extendLease(sent time.Duration) {
-	end := sent + time.Duration(float64(limits.NodeLease)*(1-limits.ClockDrift)) - limits.LeaseMargin
+func (n *Node) extendLease(sentAt time.Duration) {
+	end := sentAt + time.Duration(float64(limits.NodeLease)*(1-limits.ClockDrift)) - limits.LeaseMargin
 	if end > n.leaseEnd {
 		n.leaseEnd = end
 	}
--- a/internal/ownership/mapping.go
+++ b/internal/ownership/mapping.go
@@ -10,15 +10,15 @@
 
 // registerNode writes this node's record under its present lease, if the mirror does not show it.
 func (n *Node) registerNode() {
-	if registered, ok := n.nodes[n.Name]; !ok || !n.isOwnRecord(registered) {
+	if storedRecord, ok := n.nodes[n.Name]; !ok || !n.isOwnRecord(storedRecord) {
 		key := keyNode + keySegment(n.Name)
 		var version uint64
 		if ok {
-			version = registered.version
+			version = storedRecord.version
 		}
-		self := n.ownRecord()
-		self.Format = n.SupportedFormat
-		n.submit(key, wire.Txn{Guards: []wire.Guard{{Key: key, Version: version}}, Then: []wire.Op{{Key: key, Value: self, Lease: n.lease}}})
+		ownRecord := n.ownRecord()
+		ownRecord.Format = n.SupportedFormat
+		n.submit(key, wire.Txn{Guards: []wire.Guard{{Key: key, Version: version}}, Then: []wire.Op{{Key: key, Value: ownRecord, Lease: n.lease}}})
 	}
 }
 
@@ -42,34 +42,34 @@
 		alive[name] = true
 	}
 	owner := map[string]string{}
-	all := append([]string(nil), classes...)
-	for class, mapped := range n.mapping {
-		owner[class] = mapped.Node
-		all = append(all, class)
+	allClasses := append([]string(nil), classes...)
+	for class, mappedRecord := range n.mapping {
+		owner[class] = mappedRecord.Node
+		allClasses = append(allClasses, class)
 		// After all nodes have restarted, only the last owner of a class may claim it without
 		// waiting for the end of extensions granted by earlier incarnations. So as long as no node
 		// has claimed the class, it is mapped to its last owner again once the last owner is back,
 		// unless the last owner has just handed the class over.
-		if last := n.lastOwners[class]; alive[last] && !mapped.HandedOver {
+		if last := n.lastOwners[class]; alive[last] && !mappedRecord.HandedOver {
 			owner[class] = last
 		}
 	}
 	for class, rec := range n.owners {
 		owner[class] = rec.Node
 	}
-	want := AssignClasses(RDUCs(demand), all, owner, alive, n.Name)
-	names := make([]string, 0, len(want))
-	for class := range want {
-		names = append(names, class)
+	wantedNodes := AssignClasses(RDUCs(demand), allClasses, owner, alive, n.Name)
+	sortedClasses := make([]string, 0, len(wantedNodes))
+	for class := range wantedNodes {
+		sortedClasses = append(sortedClasses, class)
 	}
-	sort.Strings(names)
+	sort.Strings(sortedClasses)
 	txn := wire.Txn{Guards: []wire.Guard{{Key: keyLeader, Version: n.leader.version}}}
-	for _, class := range names {
-		if n.mapping[class].Node != want[class] && len(txn.Then) < n.store.MaxWrites() {
+	for _, class := range sortedClasses {
+		if n.mapping[class].Node != wantedNodes[class] && len(txn.Then) < n.store.MaxWrites() {
 			key := keyMapping + keySegment(class)
 			txn.Guards = append(txn.Guards, wire.Guard{Key: key, Version: n.mapping[class].version})
-			txn.Then = append(txn.Then, wire.Op{Key: key, Value: nodeRecord{Node: want[class]}})
-			n.log(slog.LevelInfo, "class mapped", "class", class, "owner", want[class], "before", n.mapping[class].Node)
+			txn.Then = append(txn.Then, wire.Op{Key: key, Value: nodeRecord{Node: wantedNodes[class]}})
+			n.log(slog.LevelInfo, "class mapped", "class", class, "owner", wantedNodes[class], "before", n.mapping[class].Node)
 		}
 	}
 	if len(txn.Then) > 0 {
@@ -79,7 +79,7 @@
 
 // RecordFormat returns the newest record format that every node reads. Until an upgrade is complete,
 // this is the format of the previous version, so that no node misreads a record or drops unknown fields
-// when it rewrites one.
+// when it rewrites a record.
 func (n *Node) RecordFormat() int { return n.recordFormat }
 
 // raiseFormat is for the leader. Once all nodes have registered with the present format, it records that
@@ -108,8 +108,8 @@
 	sort.Strings(names)
 	var txn wire.Txn
 	for _, class := range names {
-		mapped := n.mapping[class]
-		if _, owned := n.owners[class]; owned || mapped.Node != n.Name || !n.earlierGrantsEnded(class) || n.now < n.grantedUntil {
+		mappedRecord := n.mapping[class]
+		if _, owned := n.owners[class]; owned || mappedRecord.Node != n.Name || !n.earlierGrantsEnded(class) || n.now < n.grantedUntil {
 			continue
 		}
 		if len(txn.Then)+2 > n.store.MaxTxnOps {
@@ -121,7 +121,7 @@
 		// late claim would make this node the last owner, and its next incarnation would take the class
 		// over without waiting for the end of the extension (see earlierGrantsEnded).
 		n.latestTerms[class] = max(n.latestTerms[class], n.store.Mirror.Revision)
-		txn.Guards = append(txn.Guards, wire.Guard{Key: key}, wire.Guard{Key: keyMapping + keySegment(class), Version: mapped.version})
+		txn.Guards = append(txn.Guards, wire.Guard{Key: key}, wire.Guard{Key: keyMapping + keySegment(class), Version: mappedRecord.version})
 		txn.Then = append(txn.Then, wire.Op{Key: key, Value: n.ownRecord(), Lease: n.lease})
 		if n.lastOwners[class] != n.Name {
 			txn.Then = append(txn.Then, wire.Op{Key: keyLastOwner + keySegment(class), Value: nodeRecord{Node: n.Name}})
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -189,9 +189,9 @@
 // Claims returns the classes that this process owns, whether or not it may act on them right now.
 func (n *Node) Claims() map[string]*Claim { return n.claims }
 
-// MayLaunch reports whether an owner may start work and act on its claims. It may do so under extensions
-// too: the machines and jobs were recorded before the outage, so a successor waits for the tasks
-// launched during the outage as for all others.
+// MayLaunch reports whether an owner may start work and act on its claims. Extensions are
+// enough: the machines and jobs were recorded before the outage, so a successor also waits for the tasks
+// that are launched during the outage.
 func (n *Node) MayLaunch() bool { return n.MayAnswer() }
 
 // MayAnswer reports whether an owner may answer its workers. Its information about cancelled jobs
@@ -217,8 +217,8 @@
 	return true
 }
 
-// AnswerDeadline returns the time until which an owner that may answer its workers may continue to do
-// so. A renewal of the lease or of the extensions makes the time later.
+// AnswerDeadline returns the time until which an owner that may answer its workers now may go on
+// answering them. A renewal of the lease or of the extensions makes this time later.
 func (n *Node) AnswerDeadline() time.Duration {
 	staleAt := n.CancellationsKnownThrough() + n.MaxStaleness
 	if n.LeaseValid() {
@@ -237,9 +237,9 @@
 	if rec, ok := n.owners[class]; ok {
 		return rec.Node
 	}
-	if mapped, ok := n.mapping[class]; ok {
-		if _, alive := n.nodes[mapped.Node]; alive {
-			return mapped.Node
+	if mappedRecord, ok := n.mapping[class]; ok {
+		if _, alive := n.nodes[mappedRecord.Node]; alive {
+			return mappedRecord.Node
 		}
 	}
 	return ""
@@ -322,7 +322,7 @@
 	if !n.LeaseValid() {
 		return
 	}
-	var handedOver []string
+	var handedOverClasses []string
 	for _, class := range slices.Sorted(maps.Keys(n.owners)) {
 		rec := n.owners[class]
 		if !n.isOwnRecord(rec) || n.claims[class] != nil {
@@ -334,10 +334,11 @@
 				Then:   []wire.Op{{Remove: keyOwner + keySegment(class)}}})
 			continue
 		}
-		// Once this node has begun to hand a class over, it never acts under that term again, even
-		// if the transaction fails: orders that it sent under the term may still be carried out.
+		// Once this node has begun to hand a class over, it never acts again under the term of that
+		// claim, even if the handover's transaction fails: orders that it sent under the term may still
+		// be carried out.
 		if n.handingOver[class] == rec.version {
-			handedOver = append(handedOver, class)
+			handedOverClasses = append(handedOverClasses, class)
 			continue
 		}
 		// Successors rely on an owner having read everything that was recorded before its term.
@@ -355,7 +356,7 @@
 		n.claims[class] = &Claim{Class: class, Term: rec.version, Since: n.now}
 		n.log(slog.LevelInfo, "class taken over", "class", class, "term", rec.version)
 	}
-	n.releaseClasses(handedOver)
+	n.releaseClasses(handedOverClasses)
 }
 
 func (n *Node) ownRecord() nodeRecord {
--- a/internal/ownership/rduc.go
+++ b/internal/ownership/rduc.go
@@ -36,10 +36,10 @@
 	queue := []string{class}
 	for i := 0; i < len(queue); i++ {
 		for _, team := range teamsOf[queue[i]] {
-			for linked := range d[team] {
-				if !seen[linked] {
-					seen[linked] = true
-					queue = append(queue, linked)
+			for linkedClass := range d[team] {
+				if !seen[linkedClass] {
+					seen[linkedClass] = true
+					queue = append(queue, linkedClass)
 				}
 			}
 		}
@@ -48,13 +48,13 @@
 	return queue
 }
 
-// AssignClasses maps every class to a node. groups are the RDUCs, classes all known classes, owner the
-// current owner of each class or, if it has none, the node to which it is mapped, and alive the live
-// nodes.
+// AssignClasses maps every class to a node. groups are the RDUCs, and classes are all known classes.
+// owner is the current owner of each class or, for a class without an owner, the node to which the class
+// is mapped. alive is the set of live nodes.
 //
-// An RDUC stays with its owner; if it has several owners, the live one that has most of its classes gets
-// all of them. An RDUC without a live owner goes to the node with the fewest RDUCs, the leader on a tie.
-// A class without demand stays with its live owner, or else goes to the leader.
+// All classes of an RDUC go to the live node that owns most of them. An RDUC without a live owner goes
+// to the node with the fewest RDUCs, the leader on a tie. A class without demand stays with its live
+// owner, or else goes to the leader.
 func AssignClasses(groups [][]string, classes []string, owner map[string]string, alive map[string]bool, leader string) map[string]string {
 	result := map[string]string{}
 	load := map[string]int{}
@@ -64,23 +64,23 @@
 			result[class] = node
 		}
 	}
-	var unowned [][]string
+	var unownedGroups [][]string
 	for _, group := range groups {
 		if node := majorityOwner(group, owner, alive); node != "" {
 			assign(group, node)
 		} else {
-			unowned = append(unowned, group)
+			unownedGroups = append(unownedGroups, group)
 		}
 	}
 	nodes := slices.Sorted(maps.Keys(alive))
-	for _, group := range unowned {
-		least := leader
+	for _, group := range unownedGroups {
+		leastLoaded := leader
 		for _, node := range nodes {
-			if load[node] < load[least] {
-				least = node
+			if load[node] < load[leastLoaded] {
+				leastLoaded = node
 			}
 		}
-		assign(group, least)
+		assign(group, leastLoaded)
 	}
 	for _, class := range classes {
 		if _, mapped := result[class]; mapped {
@@ -97,17 +97,17 @@
 // majorityOwner returns the live node that owns most classes of a group, or "" if no live node owns
 // any. On a tie it returns the first node by name.
 func majorityOwner(group []string, owner map[string]string, alive map[string]bool) string {
-	owned := map[string]int{}
+	ownedCount := map[string]int{}
 	for _, class := range group {
 		if node := owner[class]; alive[node] {
-			owned[node]++
+			ownedCount[node]++
 		}
 	}
-	best := ""
-	for _, node := range slices.Sorted(maps.Keys(owned)) {
-		if best == "" || owned[node] > owned[best] {
-			best = node
+	bestNode := ""
+	for _, node := range slices.Sorted(maps.Keys(ownedCount)) {
+		if bestNode == "" || ownedCount[node] > ownedCount[bestNode] {
+			bestNode = node
 		}
 	}
-	return best
+	return bestNode
 }
--- a/internal/reachability/detector.go
+++ b/internal/reachability/detector.go
@@ -23,13 +23,13 @@
 	gaps, latencies     *sketch
 	consecutiveLongGaps int // number of consecutive gaps, up to the last one, that were long enough to count as down
 
-	lastMessageAt     time.Duration // when the last unsolicited message arrived; 0: never
-	lastAnswerAt      time.Duration // when the last answer of any kind arrived; 0: never
-	lastServedSentAt  time.Duration // when the newest request that was served was sent; 0: none
-	lastRefusedSentAt time.Duration // when the newest request that was refused was sent; 0: none
-	firstLostSentAt   time.Duration // when the oldest of the consecutive lost requests was sent; 0: none
-	consecutiveLosses int
-	outstanding       map[uint64]time.Duration // when each request without an answer was sent, by request ID
+	lastMessageAt       time.Duration // when the last unsolicited message arrived; 0: never
+	lastAnswerAt        time.Duration // when the last answer of any kind arrived; 0: never
+	lastServedSentAt    time.Duration // when the newest request that was served was sent; 0: none
+	lastRefusedSentAt   time.Duration // when the newest request that was refused was sent; 0: none
+	firstLostSentAt     time.Duration // when the oldest of the consecutive lost requests was sent; 0: none
+	consecutiveLosses   int
+	outstandingRequests map[uint64]time.Duration // when each request without an answer was sent, by request ID
 
 	state      State
 	stateSince time.Duration
@@ -38,19 +38,19 @@
 
 func newDetector(link Link, settings *Settings, now time.Duration) *detector {
 	return &detector{link: link, settings: settings, damper: damper{settings: settings.Damper, updatedAt: now},
-		gaps: newSketch(settings.Quantile), latencies: newSketch(settings.Quantile), outstanding: map[uint64]time.Duration{}, state: Unknown, stateSince: now}
+		gaps: newSketch(settings.Quantile), latencies: newSketch(settings.Quantile), outstandingRequests: map[uint64]time.Duration{}, state: Unknown, stateSince: now}
 }
 
 // recordSent records the time of a request that has no answer yet.
-func (d *detector) recordSent(id uint64, now time.Duration) { d.outstanding[id] = now }
+func (d *detector) recordSent(id uint64, now time.Duration) { d.outstandingRequests[id] = now }
 
 // recordAnswer records an answer; refused means that the other side rejected the request.
 func (d *detector) recordAnswer(id uint64, now time.Duration, refused bool) {
-	sentAt, ok := d.outstanding[id]
+	sentAt, ok := d.outstandingRequests[id]
 	if !ok {
 		return
 	}
-	delete(d.outstanding, id)
+	delete(d.outstandingRequests, id)
 	d.latencies.record(max(0, now-sentAt-d.maxHold))
 	d.lastAnswerAt = now
 	if refused {
@@ -67,11 +67,11 @@
 
 // recordLost records that a request got no answer before its timeout.
 func (d *detector) recordLost(id uint64) {
-	sentAt, ok := d.outstanding[id]
+	sentAt, ok := d.outstandingRequests[id]
 	if !ok {
 		return
 	}
-	delete(d.outstanding, id)
+	delete(d.outstandingRequests, id)
 	if sentAt < max(d.lastServedSentAt, d.lastRefusedSentAt) {
 		return // a request that was sent later has been answered
 	}
@@ -117,8 +117,8 @@
 			*at += pause
 		}
 	}
-	for id := range d.outstanding {
-		d.outstanding[id] += pause
+	for id := range d.outstandingRequests {
+		d.outstandingRequests[id] += pause
 	}
 }
 
@@ -149,14 +149,14 @@
 	return now - d.lastMessageAt
 }
 
-// unansweredFor returns the age of the oldest request without an answer, lost or outstanding, and 0 if
-// there is none.
+// unansweredFor returns the age of the oldest request without an answer, lost or outstanding, or 0 if
+// every request has an answer.
 func (d *detector) unansweredFor(now time.Duration) time.Duration {
 	oldest := now
 	if d.firstLostSentAt > 0 {
 		oldest = d.firstLostSentAt
 	}
-	for _, sentAt := range d.outstanding {
+	for _, sentAt := range d.outstandingRequests {
 		// A request that is outstanding while a later one has been answered is slow, and no sign of a
 		// failed link.
 		if sentAt > max(d.lastServedSentAt, d.lastRefusedSentAt) {
--- a/internal/reachability/monitor_test.go
+++ b/internal/reachability/monitor_test.go
@@ -91,18 +91,18 @@
 		}
 		sim.pendingReplies = append(sim.pendingReplies, reply)
 	}
-	remaining := sim.pendingReplies[:0]
+	remainingReplies := sim.pendingReplies[:0]
 	for _, reply := range sim.pendingReplies {
 		switch {
 		case sim.now < reply.dueAt:
-			remaining = append(remaining, reply)
+			remainingReplies = append(remainingReplies, reply)
 		case reply.lost:
 			sim.monitor.RecordLost(sim.link, reply.id, sim.now)
 		default:
 			sim.monitor.RecordAnswer(sim.link, reply.id, sim.now, sim.refusing)
 		}
 	}
-	sim.pendingReplies = remaining
+	sim.pendingReplies = remainingReplies
 }
 
 func (sim *simulatedLink) state() State { return sim.monitor.Status(sim.link).State }
@@ -234,16 +234,16 @@
 			if sim.runUntil(Up, 5*time.Second); sim.monitor.Status(sim.link).Suppressed {
 				t.Fatal("the link is suppressed after one failure")
 			}
-			working := 0
+			workingCount := 0
 			for range 12 {
 				sim.cutFor(period / 2)
 				sim.run(period / 2)
 				if sim.monitor.Status(sim.link).Works() {
-					working++
+					workingCount++
 				}
 			}
-			if status := sim.monitor.Status(sim.link); !status.Suppressed || working > 6 {
-				t.Errorf("after 12 failures: %+v; the link worked after %d of them, want suppressed and at most 6", status, working)
+			if status := sim.monitor.Status(sim.link); !status.Suppressed || workingCount > 6 {
+				t.Errorf("after 12 failures: %+v; the link worked after %d of them, want suppressed and at most 6", status, workingCount)
 			}
 			sim.run(testSettings().Damper.MaxSuppression + 5*time.Second)
 			if status := sim.monitor.Status(sim.link); !status.Works() {
--- a/internal/reachability/view.go
+++ b/internal/reachability/view.go
@@ -80,20 +80,20 @@
 	s.views[view.Node] = receivedView{view: view, receivedAt: now}
 }
 
-// current returns a controller's view, unless it is a peer's and too old.
-func (s *ViewSet) current(node string, now time.Duration) (View, bool) {
-	received, ok := s.views[node]
-	if !ok || node != s.self && now-received.receivedAt > s.maxAge {
+// currentView returns a controller's view, unless it is a peer's and too old.
+func (s *ViewSet) currentView(node string, now time.Duration) (View, bool) {
+	receivedView, ok := s.views[node]
+	if !ok || node != s.self && now-receivedView.receivedAt > s.maxAge {
 		return View{}, false
 	}
-	return received.view, true
+	return receivedView.view, true
 }
 
 // Views returns the views that are not too old, sorted by controller.
 func (s *ViewSet) Views(now time.Duration) []View {
 	var views []View
 	for _, node := range slices.Sorted(maps.Keys(s.views)) {
-		if view, ok := s.current(node, now); ok {
+		if view, ok := s.currentView(node, now); ok {
 			views = append(views, view)
 		}
 	}
@@ -117,11 +117,11 @@
 
 // Loss returns which controllers have lost a dependency, according to the current views.
 func (s *ViewSet) Loss(dependency Dependency, now time.Duration) LossExtent {
-	own, ok := s.current(s.self, now)
+	ownView, ok := s.currentView(s.self, now)
 	if !ok {
 		return Intact
 	}
-	if reached, known := own.Reaches(dependency); reached || !known {
+	if reached, known := ownView.Reaches(dependency); reached || !known {
 		return Intact
 	}
 	extent := Unclear
--- a/internal/statestore/mirror.go
+++ b/internal/statestore/mirror.go
@@ -44,13 +44,13 @@
 	requestInFlight bool
 	retryAt         time.Duration
 	nextWatch       time.Duration // earliest time of the next watch
-	loading         *fullRead
+	currentFullRead *fullRead
 	changes         []Change
 }
 
 // fullRead is the state of reading all keys, page by page.
 type fullRead struct {
-	seen      map[string]bool // keys read so far
+	seenKeys  map[string]bool // keys read so far
 	revision  uint64          // of the first page
 	lastKey   string          // last key read
 	startedAt time.Duration   // when the request for the first page was sent
@@ -69,45 +69,45 @@
 
 // TakeChanges returns the changes since the last call.
 func (m *Mirror) TakeChanges() []Change {
-	taken := m.changes
+	changes := m.changes
 	m.changes = nil
-	return taken
+	return changes
 }
 
-// set stores a key, unless the mirror already has that version or a newer one.
-func (m *Mirror) set(key string, e Entry) {
+// set stores a key, unless the mirror already has this version of the key or a newer version.
+func (m *Mirror) set(key string, entry Entry) {
 	if !strings.HasPrefix(key, Root) {
 		return
 	}
-	if old, ok := m.keys[key]; ok && old.Version >= e.Version {
+	if oldEntry, ok := m.keys[key]; ok && oldEntry.Version >= entry.Version {
 		return
 	}
-	m.keys[key] = e
-	m.changes = append(m.changes, Change{Key: key, Entry: e})
+	m.keys[key] = entry
+	m.changes = append(m.changes, Change{Key: key, Entry: entry})
 }
 
 // remove deletes a key, unless the mirror has a newer version than the removal.
 func (m *Mirror) remove(key string, version uint64) {
-	old, ok := m.keys[key]
-	if !ok || old.Version > version {
+	oldEntry, ok := m.keys[key]
+	if !ok || oldEntry.Version > version {
 		return
 	}
 	delete(m.keys, key)
-	m.changes = append(m.changes, Change{Key: key, Entry: old, Removed: true})
+	m.changes = append(m.changes, Change{Key: key, Entry: oldEntry, Removed: true})
 }
 
 // tick sends the next request: for a page while all keys are being read, else a watch.
 func (m *Mirror) tick() {
-	watching := m.Loaded && m.loading == nil
+	watching := m.Loaded && m.currentFullRead == nil
 	if m.requestInFlight || m.store.now < m.retryAt || (watching && m.store.now < m.nextWatch) {
 		return
 	}
 	m.requestInFlight = true
 	if !watching {
-		if m.loading == nil {
-			m.loading = &fullRead{seen: map[string]bool{}}
+		if m.currentFullRead == nil {
+			m.currentFullRead = &fullRead{seenKeys: map[string]bool{}}
 		}
-		m.store.List(PriorityLease, Root, m.loading.lastKey, m.handlePage)
+		m.store.List(PriorityLease, Root, m.currentFullRead.lastKey, m.handlePage)
 		return
 	}
 	// Without this interval, watches use up the node's request budget: every change of
@@ -126,21 +126,21 @@
 
 // handlePage applies one page of a full read. After the last page it removes the keys that
 // were not read.
-func (m *Mirror) handlePage(r Reply) {
+func (m *Mirror) handlePage(reply Reply) {
 	var rows wire.KeyValuePage
-	if r.Status != OK || wire.Decode(r.Body, &rows) != nil {
+	if reply.Status != OK || wire.Decode(reply.Body, &rows) != nil {
 		m.retryLater()
 		return
 	}
 	m.requestInFlight = false
-	read := m.loading
+	read := m.currentFullRead
 	if read.lastKey == "" {
 		// The watch starts from the first page's revision. It reports again what
 		// changed while the later pages were read; set and remove ignore old versions.
-		read.revision, read.startedAt = rows.Revision, r.SentAt
+		read.revision, read.startedAt = rows.Revision, reply.SentAt
 	}
 	for _, row := range rows.Entries {
-		read.seen[row.Key] = true
+		read.seenKeys[row.Key] = true
 		m.set(row.Key, Entry{row.Value, row.Version})
 		read.lastKey = row.Key
 	}
@@ -148,42 +148,42 @@
 		return
 	}
 	for k, e := range m.keys {
-		if !read.seen[k] {
+		if !read.seenKeys[k] {
 			m.remove(k, e.Version)
 		}
 	}
 	m.Revision = read.revision
 	m.KnownThrough = max(m.KnownThrough, read.startedAt)
-	m.loading = nil
+	m.currentFullRead = nil
 	m.Loaded = true
 	m.FullReads++
 }
 
 // handleWatchReply applies the changes of a watch. A 410 means that the service no longer
 // has the changes since Revision, so all keys are read again.
-func (m *Mirror) handleWatchReply(r Reply) {
-	if r.Status == 410 {
+func (m *Mirror) handleWatchReply(reply Reply) {
+	if reply.Status == 410 {
 		m.requestInFlight = false
-		m.loading = &fullRead{seen: map[string]bool{}}
+		m.currentFullRead = &fullRead{seenKeys: map[string]bool{}}
 		return
 	}
-	var watched wire.WatchReply
-	if r.Status != OK || wire.Decode(r.Body, &watched) != nil {
+	var watchReply wire.WatchReply
+	if reply.Status != OK || wire.Decode(reply.Body, &watchReply) != nil {
 		m.retryLater()
 		return
 	}
 	m.requestInFlight = false
-	for _, e := range watched.Events {
-		if e.Put != "" {
-			m.set(e.Put, Entry{e.Value, e.Version})
+	for _, event := range watchReply.Events {
+		if event.Put != "" {
+			m.set(event.Put, Entry{event.Value, event.Version})
 		} else {
-			m.remove(e.Remove, e.Version)
+			m.remove(event.Remove, event.Version)
 		}
 	}
-	if watched.Revision > m.Revision {
-		m.Revision = watched.Revision
+	if watchReply.Revision > m.Revision {
+		m.Revision = watchReply.Revision
 	}
-	m.KnownThrough = max(m.KnownThrough, r.SentAt)
+	m.KnownThrough = max(m.KnownThrough, reply.SentAt)
 }
 
 // Put stores a key that this node has just written, before the watch reports it.
--- a/internal/statestore/record_table.go
+++ b/internal/statestore/record_table.go
@@ -99,7 +99,7 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(records)) {
 		value := records[id]
-		if wanted, ok := page.pending[id]; ok && bytes.Equal(wanted.value, value) {
+		if pendingChange, ok := page.pending[id]; ok && bytes.Equal(pendingChange.value, value) {
 			delete(page.pending, id)
 		}
 		if oldPage := t.pageOf[id]; oldPage != nil && oldPage != page {
@@ -116,7 +116,7 @@
 // applyRemoval removes a record that is no longer in its page from the table, unless a pending change
 // writes the record again, and reports the removal to apply.
 func (t *RecordTable) applyRemoval(page *tablePage, id string) {
-	if wanted, ok := page.pending[id]; !ok || wanted.value == nil {
+	if pendingChange, ok := page.pending[id]; !ok || pendingChange.value == nil {
 		delete(t.pageOf, id)
 		delete(page.pending, id)
 	}
@@ -126,13 +126,13 @@
 // applyMove moves the pending change of a record, if there is one, to the page in which the record now
 // is. A change that is already stored there is dropped.
 func (t *RecordTable) applyMove(from, to *tablePage, id string, value msgpack.RawMessage) {
-	wanted, ok := from.pending[id]
+	pendingChange, ok := from.pending[id]
 	if !ok {
 		return
 	}
 	delete(from.pending, id)
-	if !bytes.Equal(wanted.value, value) {
-		to.pending[id] = wanted
+	if !bytes.Equal(pendingChange.value, value) {
+		to.pending[id] = pendingChange
 		to.due = min(to.due, from.due)
 		to.urgent = to.urgent || from.urgent
 	}
@@ -155,9 +155,9 @@
 			page.size += recordSize(id, value)
 		}
 	}
-	for id, wanted := range page.pending {
-		if wanted.value != nil {
-			page.size += recordSize(id, wanted.value)
+	for id, pendingChange := range page.pending {
+		if pendingChange.value != nil {
+			page.size += recordSize(id, pendingChange.value)
 		}
 	}
 }
@@ -214,8 +214,8 @@
 	if value != nil {
 		page.size += recordSize(id, value)
 	}
-	if at := t.store.now + wait; len(page.pending) == 0 || at < page.due {
-		page.due = at
+	if dueAt := t.store.now + wait; len(page.pending) == 0 || dueAt < page.due {
+		page.due = dueAt
 	}
 	page.urgent = page.urgent || urgent
 	page.pending[id] = pendingRecord{value}
@@ -223,8 +223,8 @@
 
 // pageWithRoom returns a page of a class that has room for a new record.
 func (t *RecordTable) pageWithRoom(class string, size int) *tablePage {
-	for n := 0; ; n++ {
-		page := t.getOrAddPage(t.prefix + url.PathEscape(class) + "/" + strconv.Itoa(n))
+	for pageNumber := 0; ; pageNumber++ {
+		page := t.getOrAddPage(t.prefix + url.PathEscape(class) + "/" + strconv.Itoa(pageNumber))
 		if page.size+size <= t.maxPageBytes || page.size == 0 {
 			return page
 		}
@@ -257,39 +257,39 @@
 // records returns the records of a page as they are once its pending changes are written.
 func (page *tablePage) records() map[string]msgpack.RawMessage {
 	records := maps.Clone(page.stored)
-	for id, wanted := range page.pending {
-		if wanted.value == nil {
+	for id, pendingChange := range page.pending {
+		if pendingChange.value == nil {
 			delete(records, id)
 		} else {
-			records[id] = wanted.value
+			records[id] = pendingChange.value
 		}
 	}
 	return records
 }
 
-// split assigns the records that exceed a page's limit to unused pages. It returns only
-// those records.
+// split assigns the records that exceed a page's limit to unused pages. The result
+// contains only the records that move.
 func (t *RecordTable) split(page *tablePage, records map[string]msgpack.RawMessage) (parts []movedPart) {
-	size, n := 0, 0
-	var last *movedPart
+	size, pageNumber := 0, 0
+	var lastPart *movedPart
 	for _, id := range slices.Sorted(maps.Keys(records)) {
 		bytesNeeded := recordSize(id, records[id])
 		if size+bytesNeeded <= t.maxPageBytes || size == 0 {
 			size += bytesNeeded
-			if last != nil {
-				last.records[id] = records[id]
+			if lastPart != nil {
+				lastPart.records[id] = records[id]
 			}
 			continue
 		}
-		for ; ; n++ {
-			unused := t.getOrAddPage(t.prefix + url.PathEscape(page.class) + "/" + strconv.Itoa(n))
-			if unused.version == 0 && len(unused.stored) == 0 && len(unused.pending) == 0 {
-				n++
-				parts = append(parts, movedPart{unused, map[string]msgpack.RawMessage{id: records[id]}})
+		for ; ; pageNumber++ {
+			unusedPage := t.getOrAddPage(t.prefix + url.PathEscape(page.class) + "/" + strconv.Itoa(pageNumber))
+			if unusedPage.version == 0 && len(unusedPage.stored) == 0 && len(unusedPage.pending) == 0 {
+				pageNumber++
+				parts = append(parts, movedPart{unusedPage, map[string]msgpack.RawMessage{id: records[id]}})
 				break
 			}
 		}
-		last, size = &parts[len(parts)-1], bytesNeeded
+		lastPart, size = &parts[len(parts)-1], bytesNeeded
 	}
 	return parts
 }
@@ -324,18 +324,18 @@
 	for _, page := range t.pages {
 		urgent = urgent || page.urgent && len(page.pending) > 0 && t.store.now >= page.due
 	}
-	w := &tableWrite{guardedClasses: map[string]bool{}}
+	write := &tableWrite{guardedClasses: map[string]bool{}}
 	for _, key := range slices.Sorted(maps.Keys(t.pages)) {
 		page := t.pages[key]
-		if !t.mayWrite(page, w, urgent) {
+		if !t.mayWrite(page, write, urgent) {
 			continue
 		}
-		if split := t.addPage(w, page); split {
+		if split := t.addPage(write, page); split {
 			break // a transaction that splits a page takes no more pages
 		}
 	}
-	if len(w.pages) > 0 {
-		t.queueWrite(w, urgent)
+	if len(write.pages) > 0 {
+		t.queueWrite(write, urgent)
 	}
 }
 
@@ -343,9 +343,9 @@
 // transaction. Pages that are not urgent go into separate transactions, and only when the
 // write budget has tokens to spare. Otherwise jobs and machines that need their records
 // stored would wait behind them for minutes.
-func (t *RecordTable) mayWrite(page *tablePage, w *tableWrite, urgent bool) bool {
-	writes := len(w.txn.Then)
-	if len(page.pending) == 0 || t.store.now < page.due || writes >= t.store.MaxWrites() || w.size+page.size > limits.MaxPageTxnBytes {
+func (t *RecordTable) mayWrite(page *tablePage, write *tableWrite, urgent bool) bool {
+	writes := len(write.txn.Then)
+	if len(page.pending) == 0 || t.store.now < page.due || writes >= t.store.MaxWrites() || write.size+page.size > limits.MaxPageTxnBytes {
 		return false
 	}
 	if urgent != page.urgent || (!urgent && !t.store.CanSpareWrites(writes+1)) {
@@ -357,60 +357,60 @@
 // addPage adds a page to the transaction. Records that exceed the page's limit move to
 // other pages in the same transaction; addPage reports whether any did. Without such a
 // split, the state service would keep rejecting a page that was filled under larger limits.
-func (t *RecordTable) addPage(w *tableWrite, page *tablePage) (split bool) {
+func (t *RecordTable) addPage(write *tableWrite, page *tablePage) (split bool) {
 	records := page.records()
-	var moved []movedPart
+	var movedParts []movedPart
 	if page.size > t.maxPageBytes && len(records) > 1 {
-		moved = t.split(page, records)
-		writes := len(w.txn.Then)
-		if len(moved) > 0 && writes > 0 && writes+1+len(moved) > t.store.MaxWrites() {
+		movedParts = t.split(page, records)
+		writes := len(write.txn.Then)
+		if len(movedParts) > 0 && writes > 0 && writes+1+len(movedParts) > t.store.MaxWrites() {
 			return false // too large to share this transaction; gets one of its own later
 		}
-		moved = moved[:min(len(moved), max(0, t.store.MaxWrites()-1))]
-		for _, part := range moved {
+		movedParts = movedParts[:min(len(movedParts), max(0, t.store.MaxWrites()-1))]
+		for _, part := range movedParts {
 			for id := range part.records {
 				delete(records, id)
 			}
 		}
 	}
-	if !w.guardedClasses[page.class] {
-		w.guardedClasses[page.class] = true
-		w.txn.Guards = append(w.txn.Guards, t.guard(page.class))
+	if !write.guardedClasses[page.class] {
+		write.guardedClasses[page.class] = true
+		write.txn.Guards = append(write.txn.Guards, t.guard(page.class))
 	}
-	if !w.add(page, records) {
+	if !write.add(page, records) {
 		return false
 	}
-	w.size += page.size
+	write.size += page.size
 	page.urgent = false
-	for _, part := range moved {
-		w.add(part.page, part.records)
+	for _, part := range movedParts {
+		write.add(part.page, part.records)
 	}
-	return len(moved) > 0
+	return len(movedParts) > 0
 }
 
 // queueWrite queues the transaction, and applies its result to the mirror when the reply arrives.
-func (t *RecordTable) queueWrite(w *tableWrite, urgent bool) {
+func (t *RecordTable) queueWrite(write *tableWrite, urgent bool) {
 	priority := PriorityProgress
 	if urgent {
 		priority = PriorityRecords
 	}
 	t.writeInFlight = true
-	t.store.Txn(priority, limits.StoreTimeout, w.txn, func(reply Reply) {
+	t.store.Txn(priority, limits.StoreTimeout, write.txn, func(reply Reply) {
 		t.writeInFlight = false
 		var txnReply wire.TxnReply
 		if reply.Status != OK || wire.Decode(reply.Body, &txnReply) != nil {
-			// The transaction may have been executed all the same. Its records stay
+			// The transaction may have been executed nevertheless. Its records stay
 			// pending until they appear in the mirror.
 			t.pausedUntil = t.store.now + limits.StoreBackoff
-			for _, page := range w.pages {
+			for _, page := range write.pages {
 				page.urgent = page.urgent || urgent
 			}
 			return
 		}
 		// The pages that records moved to come last in w.pages and are applied first, so
 		// that no moved record is missing in between.
-		for i := len(w.pages) - 1; i >= 0; i-- {
-			t.store.Mirror.Put(w.pages[i].key, w.txn.Then[i].Value.(msgpack.RawMessage), txnReply.Revision)
+		for i := len(write.pages) - 1; i >= 0; i-- {
+			t.store.Mirror.Put(write.pages[i].key, write.txn.Then[i].Value.(msgpack.RawMessage), txnReply.Revision)
 		}
 	})
 }
--- a/internal/statestore/record_table_test.go
+++ b/internal/statestore/record_table_test.go
@@ -26,29 +26,29 @@
 // tableHarness runs a record table against a simulated state service that may lose requests
 // and replies.
 type tableHarness struct {
-	store         *Store
-	table         *RecordTable
-	now           time.Duration
-	applied       map[string]string // records reported to the table's apply function, as CLASS:VALUE
-	stored        map[string][]byte // values stored in the state service
-	versions      map[string]uint64 // versions stored in the state service
-	revision      uint64            // of the state service
-	term          uint64            // version of the ownership guard; 0: not the owner
-	writes        int               // number of executed writes
-	maxValueBytes int               // maximum size of a value
+	store          *Store
+	table          *RecordTable
+	now            time.Duration
+	appliedRecords map[string]string // records reported to the table's apply function, as CLASS:VALUE
+	storedValues   map[string][]byte // values stored in the state service
+	versions       map[string]uint64 // versions stored in the state service
+	revision       uint64            // of the state service
+	term           uint64            // version of the ownership guard; 0: not the owner
+	writes         int               // number of executed writes
+	maxValueBytes  int               // maximum size of a value
 }
 
 func newTableHarness(t interface{ Fatalf(string, ...any) }) *tableHarness {
-	h := &tableHarness{store: New(1000, 1000, 8, 4), applied: map[string]string{}, stored: map[string][]byte{}, versions: map[string]uint64{}, revision: 10, term: 3, maxValueBytes: 4096}
+	h := &tableHarness{store: New(1000, 1000, 8, 4), appliedRecords: map[string]string{}, storedValues: map[string][]byte{}, versions: map[string]uint64{}, revision: 10, term: 3, maxValueBytes: 4096}
 	h.table = NewRecordTable(h.store, "u/x/", func(class string) wire.Guard { return wire.Guard{Key: "u/own/" + class, Version: h.term} },
 		func(id, class string, raw msgpack.RawMessage, removed bool) {
 			var value string
 			if removed {
-				delete(h.applied, id)
+				delete(h.appliedRecords, id)
 			} else if err := wire.Decode(raw, &value); err != nil {
 				t.Fatalf("decode record %s: %v", id, err)
 			} else {
-				h.applied[id] = class + ":" + value
+				h.appliedRecords[id] = class + ":" + value
 			}
 		})
 	h.store.Mirror.Loaded, h.store.Mirror.requestInFlight = true, true // the harness takes the place of the watch
@@ -86,7 +86,7 @@
 		for _, op := range txn.Then {
 			h.writes++
 			raw := []byte(op.Value.(msgpack.RawMessage))
-			h.stored[op.Key], h.versions[op.Key] = raw, h.revision
+			h.storedValues[op.Key], h.versions[op.Key] = raw, h.revision
 			var records map[string]string
 			if err := wire.Decode(raw, &records); err != nil {
 				t.Fatalf("decode a written page: %v", err)
@@ -102,7 +102,7 @@
 			h.store.HandleReply(h.now, call.ID, 0, nil)
 		}
 	}
-	for key, raw := range h.stored { // in place of the watch
+	for key, raw := range h.storedValues { // in place of the watch
 		h.store.Mirror.Put(key, raw, h.versions[key])
 	}
 	for _, c := range h.store.Mirror.TakeChanges() {
@@ -138,7 +138,7 @@
 		for i := 0; i < 6; i++ {
 			h.step(t, func() int { return 0 })
 		}
-		if d := cmp.Diff(want, h.applied); d != "" {
+		if d := cmp.Diff(want, h.appliedRecords); d != "" {
 			t.Fatalf("applied records differ (-want +got):\n%s", d)
 		}
 	})
@@ -179,7 +179,7 @@
 		for i := 0; i < 20; i++ {
 			h.step(t, func() int { return 0 })
 		}
-		if d := cmp.Diff(want, h.applied); d != "" {
+		if d := cmp.Diff(want, h.appliedRecords); d != "" {
 			t.Fatalf("applied records differ (-want +got):\n%s", d)
 		}
 	})
@@ -195,8 +195,8 @@
 	for i := 0; i < 4; i++ {
 		h.step(t, func() int { return 0 })
 	}
-	if len(h.applied) != 300 || h.writes > 12 {
-		t.Errorf("%d of 300 records applied after %d writes", len(h.applied), h.writes)
+	if len(h.appliedRecords) != 300 || h.writes > 12 {
+		t.Errorf("%d of 300 records applied after %d writes", len(h.appliedRecords), h.writes)
 	}
 }
 
--- a/internal/statestore/store.go
+++ b/internal/statestore/store.go
@@ -82,9 +82,9 @@
 }
 
 type inFlight struct {
-	call Call
-	sent time.Duration
-	done func(Reply)
+	call   Call
+	sentAt time.Duration
+	done   func(Reply)
 }
 
 // tokenBucket limits the rate of requests or writes, per second. Callers pass in the time.
@@ -214,12 +214,12 @@
 
 // enqueue queues a request. If the queue is full, any request but one of PriorityLease is
 // rejected with a 503.
-func (s *Store) enqueue(r *request) {
-	if s.queuedCount >= limits.MaxStoreQueue && r.priority != PriorityLease {
-		r.done(Reply{Status: 503, SentAt: s.now})
+func (s *Store) enqueue(queued *request) {
+	if s.queuedCount >= limits.MaxStoreQueue && queued.priority != PriorityLease {
+		queued.done(Reply{Status: 503, SentAt: s.now})
 		return
 	}
-	s.queues[r.priority] = append(s.queues[r.priority], r)
+	s.queues[queued.priority] = append(s.queues[queued.priority], queued)
 	s.queuedCount++
 }
 
@@ -247,45 +247,45 @@
 
 // sendQueued sends queued requests of one priority, in order, until the budget is used
 // up. It drops requests whose deadline has passed.
-func (s *Store) sendQueued(p Priority) {
-	queue := s.queues[p]
-	remaining := queue[:0:0]
-	for i, r := range queue {
-		if r.deadline != 0 && s.now >= r.deadline {
+func (s *Store) sendQueued(priority Priority) {
+	queue := s.queues[priority]
+	remainingRequests := queue[:0:0]
+	for i, request := range queue {
+		if request.deadline != 0 && s.now >= request.deadline {
 			s.queuedCount--
-			r.done(Reply{Status: 503, SentAt: s.now})
+			request.done(Reply{Status: 503, SentAt: s.now})
 			continue
 		}
-		urgent := p == PriorityLease
+		urgent := priority == PriorityLease
 		// A transaction with more writes than the bucket's capacity would wait forever.
 		// It is sent when the bucket is full, and the level becomes negative.
-		needed := min(float64(r.writes)+s.writeBucket.capacity*writeReserve[p], s.writeBucket.capacity)
-		lacksTokens := r.writes > 0 && (s.savingTokens || s.writeBucket.level < needed)
-		if !urgent && (s.now < s.pausedUntil || len(s.inFlight) >= limits.MaxStoreInFlight || s.requestBucket.level < 1+s.requestBucket.capacity*requestReserve[p] || lacksTokens) {
+		neededTokens := min(float64(request.writes)+s.writeBucket.capacity*writeReserve[priority], s.writeBucket.capacity)
+		lacksTokens := request.writes > 0 && (s.savingTokens || s.writeBucket.level < neededTokens)
+		if !urgent && (s.now < s.pausedUntil || len(s.inFlight) >= limits.MaxStoreInFlight || s.requestBucket.level < 1+s.requestBucket.capacity*requestReserve[priority] || lacksTokens) {
 			// Without saving, completions with one write each take every token before
 			// enough have accumulated for a transaction of records with several writes,
 			// and hundreds of jobs and all new machines wait for those records.
-			s.savingTokens = s.savingTokens || lacksTokens && p != PriorityProgress
-			remaining = append(remaining, queue[i:]...)
+			s.savingTokens = s.savingTokens || lacksTokens && priority != PriorityProgress
+			remainingRequests = append(remainingRequests, queue[i:]...)
 			break
 		}
 		s.requestBucket.level--
-		s.writeBucket.level -= float64(r.writes)
+		s.writeBucket.level -= float64(request.writes)
 		s.queuedCount--
-		s.queueCall(r, limits.StoreTimeout)
+		s.queueCall(request, limits.StoreTimeout)
 	}
 	// The callbacks of dropped requests may have queued new requests.
-	if added := s.queues[p][len(queue):]; len(added) > 0 {
-		remaining = append(remaining, added...)
+	if newRequests := s.queues[priority][len(queue):]; len(newRequests) > 0 {
+		remainingRequests = append(remainingRequests, newRequests...)
 	}
-	s.queues[p] = remaining
+	s.queues[priority] = remainingRequests
 }
 
 // queueCall adds the call for a request to those that Tick returns.
-func (s *Store) queueCall(r *request, timeout time.Duration) {
+func (s *Store) queueCall(queued *request, timeout time.Duration) {
 	s.lastCallID++
-	call := Call{ID: s.lastCallID, Method: r.method, Path: r.path, Body: r.body, Writes: r.writes, Timeout: timeout}
-	s.inFlight[s.lastCallID] = &inFlight{call: call, sent: s.now, done: r.done}
+	call := Call{ID: s.lastCallID, Method: queued.method, Path: queued.path, Body: queued.body, Writes: queued.writes, Timeout: timeout}
+	s.inFlight[s.lastCallID] = &inFlight{call: call, sentAt: s.now, done: queued.done}
 	s.outgoingCalls = append(s.outgoingCalls, call)
 }
 
@@ -295,7 +295,7 @@
 	if !ok {
 		return Call{}, 0, false
 	}
-	return f.call, f.sent, true
+	return f.call, f.sentAt, true
 }
 
 // HandleReply records the result of a call. status is an HTTP status, or NoAnswer.
@@ -303,7 +303,7 @@
 	if now > s.now {
 		s.now = now
 	}
-	f, ok := s.inFlight[id]
+	sentCall, ok := s.inFlight[id]
 	if !ok {
 		return
 	}
@@ -314,16 +314,16 @@
 		s.pausedUntil = s.now + limits.StoreBackoff
 	case status == 429:
 		s.pausedUntil = s.now + limits.StoreBackoff
-		if f.call.Writes > 0 && s.reducedWriteRPS > 0 {
+		if sentCall.call.Writes > 0 && s.reducedWriteRPS > 0 {
 			s.reducedUntil = s.now + limits.ReducedWriteRateHold
 			s.SetShare(s.shares[0], s.shares[1])
 		}
 	default:
-		if f.sent > s.LastOK {
-			s.LastOK = f.sent
+		if sentCall.sentAt > s.LastOK {
+			s.LastOK = sentCall.sentAt
 		}
 	}
-	f.done(Reply{Status: status, Body: body, SentAt: f.sent, CallID: id})
+	sentCall.done(Reply{Status: status, Body: body, SentAt: sentCall.sentAt, CallID: id})
 }
 
 // LastCallID returns the ID of the newest call. IDs increase with every call.
--- a/internal/statestore/store_test.go
+++ b/internal/statestore/store_test.go
@@ -127,13 +127,13 @@
 	store, watch := newLoadedStore(t)
 	store.SetShare(1.0/7, 1.0/7)
 	watches, queries := 0, 0
-	var unanswered []uint64
+	var unansweredIDs []uint64
 	for now := time.Second; now < 20*time.Second; now += 10 * time.Millisecond {
 		store.HandleReply(now, watch, 200, mustEncode(t, map[string]any{"ledger": 10 + now.Milliseconds(), "news": []any{}}))
-		for _, id := range unanswered {
+		for _, id := range unansweredIDs {
 			store.HandleReply(now, id, 200, nil)
 		}
-		unanswered = nil
+		unansweredIDs = nil
 		for i := 0; i < 3; i++ {
 			store.Get(PriorityQuery, time.Second, "k", func(Reply) {})
 		}
@@ -149,10 +149,10 @@
 				watches++
 			case call.Method == "POST":
 				sent = true
-				unanswered = append(unanswered, call.ID)
+				unansweredIDs = append(unansweredIDs, call.ID)
 			default:
 				queries++
-				unanswered = append(unanswered, call.ID)
+				unansweredIDs = append(unansweredIDs, call.ID)
 			}
 		}
 		if submitted && !sent {
--- a/internal/wire/fuzz_test.go
+++ b/internal/wire/fuzz_test.go
@@ -8,10 +8,10 @@
 
 // addSeeds adds well-formed and malformed messages to the seed corpus of a fuzz test.
 func addSeeds(f *testing.F) {
-	recall := 12.5
+	recallS := 12.5
 	for _, message := range []any{
 		validSubmission(),
-		Heartbeat{Machine: "i-000231", Address: "10.1.0.232:9000", Type: "g8", Zone: "a", Incarnation: 1, Seq: 88, FencingToken: 41, RecallS: &recall,
+		Heartbeat{Machine: "i-000231", Address: "10.1.0.232:9000", Type: "g8", Zone: "a", Incarnation: 1, Seq: 88, FencingToken: 41, RecallS: &recallS,
 			Tasks: []TaskStatus{{Task: "job-000412/3", Attempt: 2, State: TaskGathering}, {Task: "job-000398/0", Attempt: 1, State: TaskEnded, Cause: CausePeerLost}}},
 		MachineTypes{Types: []MachineType{{Name: "g8", CPUs: 96, Zones: []string{"a", "b"}}}},
 		MachineList{Machines: []ListedMachine{{ID: "i-1", Status: MachineBooting, AgeS: 2}}},
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -74,48 +74,48 @@
 	if err := Decode(body, &fields); err != nil || fields == nil {
 		return nil, fmt.Errorf("body is not a MessagePack map")
 	}
-	p := fieldParser{fields: fields}
-	s := &Submission{}
-	s.ID = p.text("id", true)
-	if p.err == nil && !ValidJobID(s.ID) {
+	parser := fieldParser{fields: fields}
+	submission := &Submission{}
+	submission.ID = parser.text("id", true)
+	if parser.err == nil && !ValidJobID(submission.ID) {
 		return nil, fmt.Errorf("id: want the form job-000412")
 	}
-	s.Class = truncateText(p.text("docket", true))
-	s.Team = p.text("crew", true)
-	form := p.text("form", true)
-	if p.err == nil && form != formArray && form != formGang {
-		return s, fmt.Errorf("form: unknown value")
+	submission.Class = truncateText(parser.text("docket", true))
+	submission.Team = parser.text("crew", true)
+	form := parser.text("form", true)
+	if parser.err == nil && form != formArray && form != formGang {
+		return submission, fmt.Errorf("form: unknown value")
 	}
-	s.Gang = form == formGang
-	urgencyName := p.text("urgency", true)
+	submission.Gang = form == formGang
+	urgencyName := parser.text("urgency", true)
 	urgency, ok := urgencyByName[urgencyName]
-	if p.err == nil && !ok {
-		return s, fmt.Errorf("urgency: unknown value")
+	if parser.err == nil && !ok {
+		return submission, fmt.Errorf("urgency: unknown value")
 	}
-	s.Urgency = urgency
-	tasks := p.number("sheets", true)
-	if p.err == nil && (tasks != math.Trunc(tasks) || tasks < 1 || tasks > limits.MaxTasks) {
-		return s, fmt.Errorf("sheets: want a whole number from 1 to %d", limits.MaxTasks)
+	submission.Urgency = urgency
+	tasks := parser.number("sheets", true)
+	if parser.err == nil && (tasks != math.Trunc(tasks) || tasks < 1 || tasks > limits.MaxTasks) {
+		return submission, fmt.Errorf("sheets: want a whole number from 1 to %d", limits.MaxTasks)
 	}
-	s.Tasks = int(tasks)
-	s.CPUs = p.number("cores", true)
-	s.GPUs = p.number("accelerators", true)
-	s.MemoryGB = p.number("ramGb", true)
-	s.Image = truncateText(p.possiblyEmptyText("plate"))
-	s.ImageGB = p.number("imageGb", true)
-	s.AllowedTypes, s.AnyType = p.texts("builds")
-	s.Zone = p.text("valley", false)
-	s.OneZone = p.flag("oneZone")
-	s.Spread = p.flag("scatter")
-	s.Spot = p.flag("loaners")
-	s.EstimateS = p.number("reckonS", true)
-	s.CheckpointS = p.number("markS", true)
-	s.SaveS = p.number("stowS", true)
-	s.DeadlineS = p.number("dueS", false)
-	if p.err != nil {
-		return s, p.err
+	submission.Tasks = int(tasks)
+	submission.CPUs = parser.number("cores", true)
+	submission.GPUs = parser.number("accelerators", true)
+	submission.MemoryGB = parser.number("ramGb", true)
+	submission.Image = truncateText(parser.possiblyEmptyText("plate"))
+	submission.ImageGB = parser.number("imageGb", true)
+	submission.AllowedTypes, submission.AnyType = parser.texts("builds")
+	submission.Zone = parser.text("valley", false)
+	submission.OneZone = parser.flag("oneZone")
+	submission.Spread = parser.flag("scatter")
+	submission.Spot = parser.flag("loaners")
+	submission.EstimateS = parser.number("reckonS", true)
+	submission.CheckpointS = parser.number("markS", true)
+	submission.SaveS = parser.number("stowS", true)
+	submission.DeadlineS = parser.number("dueS", false)
+	if parser.err != nil {
+		return submission, parser.err
 	}
-	return s, nil
+	return submission, nil
 }
 
 // truncateText shortens a text to limits.MaxTextBytes, so that records stay small. It is for texts that
@@ -123,14 +123,14 @@
 // service measures records: a text of control characters is six times as long in JSON, and if only its
 // own length were limited, the state service would refuse the record and with it the records of other
 // users in the same transaction.
-func truncateText(s string) string {
+func truncateText(text string) string {
 	size := 0
-	for i, r := range s {
+	for i, r := range text {
 		if size += jsonTextBytes(string(r)); size > limits.MaxTextBytes {
-			return s[:i]
+			return text[:i]
 		}
 	}
-	return s
+	return text
 }
 
 // jsonEscapeBytes is the length of an escape sequence in JSON, such as \u0000.
@@ -249,30 +249,30 @@
 }
 
 // AsFloat converts a decoded number of any type. It reports false for other values.
-func AsFloat(v any) (float64, bool) {
-	switch x := v.(type) {
+func AsFloat(value any) (float64, bool) {
+	switch number := value.(type) {
 	case int8:
-		return float64(x), true
+		return float64(number), true
 	case int16:
-		return float64(x), true
+		return float64(number), true
 	case int32:
-		return float64(x), true
+		return float64(number), true
 	case int64:
-		return float64(x), true
+		return float64(number), true
 	case int:
-		return float64(x), true
+		return float64(number), true
 	case uint8:
-		return float64(x), true
+		return float64(number), true
 	case uint16:
-		return float64(x), true
+		return float64(number), true
 	case uint32:
-		return float64(x), true
+		return float64(number), true
 	case uint64:
-		return float64(x), true
+		return float64(number), true
 	case float32:
-		return float64(x), true
+		return float64(number), true
 	case float64:
-		return x, true
+		return number, true
 	}
 	return 0, false
 }
--- a/internal/workers/heartbeats.go
+++ b/internal/workers/heartbeats.go
@@ -89,7 +89,7 @@
 
 // ReceiveProbeReply processes the heartbeat in a worker's reply to a probe or a fence, a direct order
 // that named the given term of this owner and the given incarnation. It reports whether the task
-// list is complete and used, like that of a Current heartbeat. This requires that term is the highest
+// list is complete and used, like the list in a Current heartbeat. This requires that term is the highest
 // fencing token that the worker has seen, that the incarnation is the worker's, and that the
 // heartbeat is the newest. If the worker has not seen the token or has another incarnation, the next
 // probe is due at once and names the worker's incarnation. Such a reply does not renew the worker's
