--- a/internal/controller/cancelled_tasks_test.go
+++ b/internal/controller/cancelled_tasks_test.go
@@ -64,7 +64,7 @@
 		sim.injectRepeatedly(5, 20, sim.store.dropHistory)
 		sim.injectRepeatedly(10, 40, func() { sim.nodes[sim.rng.IntN(len(sim.nodes))].pause(sim.randomDuration(0.5, 25)) })
 		sim.injectRepeatedly(10, 40, func() { sim.isolateFor(sim.owner(), sim.randomDuration(2, 25)) })
-		sim.injectRepeatedly(20, 60, func() { sim.refuseFor(sim.owner(), sim.randomDuration(2, 15)) })
+		sim.injectRepeatedly(20, 60, func() { sim.refuseRequestsOf(sim.owner(), sim.randomDuration(2, 15)) })
 		sim.injectRepeatedly(30, 90, func() { sim.failStoreFor(sim.randomDuration(2, cfg.cancelS)) })
 	}
 	sim.run(warmup + leaderChangeDuration)
--- a/internal/controller/concurrent_failures_test.go
+++ b/internal/controller/concurrent_failures_test.go
@@ -47,8 +47,8 @@
 	sim.schedule(d, func() { sim.store.setOutage(false) })
 }
 
-// refuseFor makes the state service refuse the requests of one controller for a duration.
-func (sim *simulation) refuseFor(node *simNode, d time.Duration) {
+// refuseRequestsOf makes the state service refuse the requests of one controller for a duration.
+func (sim *simulation) refuseRequestsOf(node *simNode, d time.Duration) {
 	if node == nil {
 		return
 	}
@@ -152,7 +152,7 @@
 	return func(sim *simulation) time.Duration {
 		owner := sim.owner()
 		peer := sim.peerOf(owner)
-		sim.refuseFor(owner, 14*second)
+		sim.refuseRequestsOf(owner, 14*second)
 		sim.scheduleAll(timedFault{300 * time.Millisecond, func() { sim.cancelJobs(peer, sim.longRunningJobs(4)) }},
 			timedFault{330 * time.Millisecond, func() {
 				if extraFault != nil {
@@ -171,7 +171,7 @@
 		owner := sim.owner()
 		for _, n := range sim.nodes {
 			if n != owner && n != sim.peerOf(owner) {
-				sim.refuseFor(n, 20*second)
+				sim.refuseRequestsOf(n, 20*second)
 			}
 		}
 		return injectFaults(sim)
@@ -325,7 +325,7 @@
 	{name: "the gap, peer ends after its answer", injectFaults: refuseOtherPeers(refusalThenOutage(func(_ *simulation, _, peer *simNode) { peer.crash(5 * second) })), disableGuard: vouchAfterRestart, brokenRules: "ran_cancelled"},
 	{name: "the gap, peer back at once", injectFaults: refuseOtherPeers(refusalThenOutage(func(sim *simulation, _, peer *simNode) {
 		peer.crash(300 * time.Millisecond)
-		sim.refuseFor(peer, 20*second)
+		sim.refuseRequestsOf(peer, 20*second)
 	})), disableGuard: vouchAfterRestart, brokenRules: "ran_cancelled"},
 	{name: "the gap, only one peer is served", injectFaults: refuseOtherPeers(refusalThenOutage(nil)), disableGuard: hideCancellations, brokenRules: "ran_cancelled"},
 	{name: "the gap, several confirm", injectFaults: refusalThenOutage(func(sim *simulation, owner, _ *simNode) {
@@ -619,7 +619,7 @@
 // at least one of the rules that the guard protects must break.
 func TestConcurrentFailures(t *testing.T) { runScenarios(t, failureScenarios) }
 
-// runScenarios runs TestConcurrentFailures with the given scenarios.
+// runScenarios checks the given scenarios as described at TestConcurrentFailures.
 func runScenarios(t *testing.T, scenarios []failureScenario) {
 	for _, scenario := range scenarios {
 		for _, nodes := range []int{3, 5} {
--- a/internal/controller/deposed_owner_test.go
+++ b/internal/controller/deposed_owner_test.go
@@ -139,7 +139,7 @@
 	case 4:
 		node.pause(sim.randomDuration(1, 12))
 	case 5:
-		sim.refuseFor(node, sim.randomDuration(2, 12))
+		sim.refuseRequestsOf(node, sim.randomDuration(2, 12))
 	case 6:
 		if !sim.store.outage {
 			sim.failStoreFor(sim.randomDuration(3, 25))
--- a/internal/controller/fault_injection_test.go
+++ b/internal/controller/fault_injection_test.go
@@ -122,7 +122,7 @@
 					submitLongJobs(sim, 8)
 					sim.run(50 * time.Second)
 					oldOwner := sim.owner()
-					moves, lastOwner := 0, oldOwner
+					takeovers, lastOwner := 0, oldOwner
 					end := sim.now + 40*time.Second
 					for on := true; sim.now < end; {
 						if fault.name == "everything" && on {
@@ -132,7 +132,7 @@
 						for stop := sim.now + 5*time.Second; sim.now < stop; {
 							sim.run(sim.now + 100*time.Millisecond)
 							if owner := sim.owner(); owner != nil && owner != lastOwner {
-								moves, lastOwner = moves+1, owner
+								takeovers, lastOwner = takeovers+1, owner
 							}
 						}
 						if flapping {
@@ -142,8 +142,8 @@
 					if owner := sim.owner(); owner == nil || (!flapping && owner == oldOwner) {
 						t.Error("no node that can serve the classes owns them")
 					}
-					if moves > 5 {
-						t.Errorf("the classes moved %d times", moves)
+					if takeovers > 5 {
+						t.Errorf("the classes moved %d times", takeovers)
 					}
 					fault.cut(sim, oldOwner, false)
 					sim.cutWorkers(oldOwner, sim.now)
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -190,7 +190,7 @@
 	case job.GangRun.Ending || job.GangRun.Attempt != 0 && status.Attempt != job.GangRun.Attempt:
 		return true, 0
 	case job.GangRun.StoppedAt > 0 && status.State != wire.TaskSaving:
-		return true, job.SaveS + c.settings.Cluster.Workers.GangPeerS
+		return true, job.SaveDurationS + c.settings.Cluster.Workers.GangPeerS
 	}
 	return false, 0
 }
@@ -244,7 +244,7 @@
 		if job.GangRun.Attempt == 0 && len(job.Assigned) > 0 {
 			c.adoptGangAttempt(job)
 		}
-		if job.GangRun.StoppedAt > 0 && steadyNow > job.GangRun.StoppedAt+limits.Seconds(c.settings.Cluster.Workers.GangPeerS+job.SaveS)+c.pool.HeartbeatInterval*5/4+limits.GangStopSlack {
+		if job.GangRun.StoppedAt > 0 && steadyNow > job.GangRun.StoppedAt+limits.Seconds(c.settings.Cluster.Workers.GangPeerS+job.SaveDurationS)+c.pool.HeartbeatInterval*5/4+limits.GangStopSlack {
 			c.endGangAttempt(job, gangStopTimeout)
 		}
 		if job.GangRun.Attempt != 0 && len(job.Assigned) == 0 {
@@ -315,5 +315,5 @@
 		return false
 	}
 	untilRecall := machine.RecallAt - c.now.Steady
-	return untilRecall <= limits.Seconds(job.SaveS+c.settings.Cluster.Workers.GangPeerS)+limits.DrainMargin+c.pool.HeartbeatInterval*5/4
+	return untilRecall <= limits.Seconds(job.SaveDurationS+c.settings.Cluster.Workers.GangPeerS)+limits.DrainMargin+c.pool.HeartbeatInterval*5/4
 }
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -88,7 +88,7 @@
 // from the answer to a direct order.
 func (c *Core) reconcile(machine *workers.Machine, commands []wire.Command, inOrderReply bool) []wire.Command {
 	mayLaunch := c.ownership.MayLaunch()
-	// The key includes the attempt number. Without the number, an ended attempt that waits to be cleared
+	// The keys of listedAttempts include the attempt number. Without the number, an ended attempt that waits to be cleared
 	// would be mistaken for a later attempt whose launch was lost, and the task would never be launched
 	// again.
 	listedAttempts := c.listedAttempts
@@ -133,8 +133,9 @@
 		case (assignment.Delivery == jobs.DirectPending || assignment.Delivery == jobs.DirectUnknown) && assignment.WorkerIncarnation == machine.Incarnation:
 		case inOrderReply && assignment.Delivery == jobs.InReply && assignment.State == jobs.Sent:
 			// The launch was sent in the answer to a heartbeat, and the worker may have sent this
-			// list before it received that answer, so the list proves nothing. Without this case,
-			// the task would be considered lost and started a second time on another machine.
+			// list before it received that answer, so the task may be running although the list lacks
+			// it. Without this case, the task would be considered lost and started a second time on
+			// another machine.
 		default:
 			missingTasks = append(missingTasks, taskID)
 		}
@@ -190,7 +191,7 @@
 	case machine.RecallAt != 0 && c.cannotFinish(machine, job, task, status.State):
 		return true, 0
 	case status.State == wire.TaskRunning && (c.mustSave(machine, job) || c.mustPreempt(machine.ID, status.Task, status.Attempt)):
-		return true, job.SaveS + 1
+		return true, job.SaveDurationS + 1
 	}
 	return false, 0
 }
@@ -212,7 +213,7 @@
 		return false
 	}
 	remaining := machine.RecallAt - c.now.Steady
-	required := limits.Seconds(job.SaveS) + limits.DrainMargin + c.pool.HeartbeatInterval*5/4
+	required := limits.Seconds(job.SaveDurationS) + limits.DrainMargin + c.pool.HeartbeatInterval*5/4
 	return remaining <= required
 }
 
--- a/internal/controller/http_client.go
+++ b/internal/controller/http_client.go
@@ -28,18 +28,18 @@
 // dozens of workers at once. TCP keep-alive is off: setting it up costs four system calls for each
 // connection, and IdleConnTimeout closes unused connections anyway.
 func (s *Server) newOrderTransport() *http.Transport {
-	orders := newTransport(1)
-	orders.MaxIdleConns = int(limits.OrderConnectionShare * float64(s.settings.Cluster.Resources.MaxSockets))
-	orders.ReadBufferSize, orders.WriteBufferSize = limits.OrderBufferBytes, limits.OrderBufferBytes
+	transport := newTransport(1)
+	transport.MaxIdleConns = int(limits.OrderConnectionShare * float64(s.settings.Cluster.Resources.MaxSockets))
+	transport.ReadBufferSize, transport.WriteBufferSize = limits.OrderBufferBytes, limits.OrderBufferBytes
 	dialer := &net.Dialer{Timeout: limits.PeerTimeout, KeepAlive: -1}
-	orders.DialContext = func(ctx context.Context, _, addr string) (net.Conn, error) {
+	transport.DialContext = func(ctx context.Context, _, addr string) (net.Conn, error) {
 		conn, err := dialer.DialContext(ctx, "tcp4", addr)
 		if err != nil {
 			return nil, err
 		}
 		return newCountedConn(conn, &s.orderConns), nil
 	}
-	return orders
+	return transport
 }
 
 // request makes one HTTP request and returns the status and body of the response. Status 0 means that
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -80,7 +80,7 @@
 		for _, victim := range plannedPreemption.Victims {
 			ref := tasks[victim.ID]
 			attempts[jobs.TaskID(ref.job.ID, ref.task)] = ref.job.Assigned[ref.task].Attempt
-			saveS = max(saveS, ref.job.SaveS)
+			saveS = max(saveS, ref.job.SaveDurationS)
 		}
 		c.preemptions[plannedPreemption.Machine.ID] = &preemption{job: plannedPreemption.Unit.Job, tasks: attempts,
 			expiresAt: steadyNow + 2*c.pool.HeartbeatInterval + limits.Seconds(saveS) + limits.PreemptSlack}
--- a/internal/controller/process_held_order_test.go
+++ b/internal/controller/process_held_order_test.go
@@ -30,7 +30,8 @@
 	}
 }
 
-// runProcessesHeldOrder runs TestProcessesHeldOrderStartsNoCancelledTask once.
+// runProcessesHeldOrder checks the case described at TestProcessesHeldOrderStartsNoCancelledTask on a new
+// cluster of processes.
 func runProcessesHeldOrder(t *testing.T, binary string) {
 	cfg := soakConfig(1)
 	cfg.capacity = map[fleet.Kind]int{{Class: "small", Zone: "a", Spot: true}: 1}
--- a/internal/controller/process_soak_test.go
+++ b/internal/controller/process_soak_test.go
@@ -222,7 +222,7 @@
 	if exchange == nil {
 		return
 	}
-	at := time.Since(live.start)
+	answeredAt := time.Since(live.start)
 	var state wire.JobStatus
 	var err error
 	if status == 200 || status == 201 {
@@ -233,7 +233,7 @@
 			live.sim.reportViolation("answer", "%s: %v", exchange.Job, err)
 			return
 		}
-		exchange.AnsweredAt, exchange.Status, exchange.State = at, status, state.Status
+		exchange.AnsweredAt, exchange.Status, exchange.State = answeredAt, status, state.Status
 	})
 }
 
--- a/internal/controller/renewals.go
+++ b/internal/controller/renewals.go
@@ -34,8 +34,9 @@
 
 // renewOrRefuse decides on the answer to a heartbeat of a machine of an owned class: 200, which
 // restarts the machine's lease, a refusal, or a fence first. Every 200 to a heartbeat must go
-// through renewOrRefuse. Otherwise successive owners may each renew a machine without stopping its
-// tasks, because its heartbeat proves nothing to them yet, and a cancelled task keeps running.
+// through renewOrRefuse. Otherwise successive owners may each renew a machine's lease without stopping
+// its tasks, because the machine's task list is not reliable before the worker has seen the owner's
+// fencing token, and a cancelled task keeps running.
 func (c *Core) renewOrRefuse(request HeartbeatRequest, machine *workers.Machine, verdict workers.Verdict) {
 	input := c.buildRenewalInput(machine, request.Heartbeat, verdict)
 	decision := c.renewalRules.DecideRenewal(input)
--- a/internal/controller/simulation_rules_test.go
+++ b/internal/controller/simulation_rules_test.go
@@ -175,7 +175,7 @@
 		case 25:
 			sim.trace("only the owner gets 503, then the state service has an outage")
 			if owner := sim.owner(); owner != nil {
-				sim.refuseFor(owner, 10*time.Second)
+				sim.refuseRequestsOf(owner, 10*time.Second)
 				sim.schedule(sim.randomDuration(0.2, 2), func() { sim.cancelJobs(sim.peerOf(owner), sim.longRunningJobs(3)) })
 				sim.schedule(sim.randomDuration(1, 3), func() {
 					sim.store.setOutage(true)
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -74,17 +74,17 @@
 	nodeCount                   int
 	teams                       []config.Team
 	machineTypes                []wire.MachineType
-	capacity                    map[fleet.Kind]int
+	capacity                    map[fleet.Kind]int  // the most machines of each kind that the simulated cloud rents out
 	leaseS, heartbeatS, cancelS float64             // worker lease, heartbeat interval and cancellation deadline in seconds
 	gangWaitS, gangPeerS        float64             // gang wait time and gang peer time in seconds; if gangPeerS is 0, 30 and 8 are used
 	nextStateLimits             *config.StateLimits // upcoming limits of the state service; nil: none
-	txnOps                      int
-	valueKB                     float64
-	writeRPS                    float64
-	stateRPS, cloudRPS          float64           // requests per second; if stateRPS is 0, 150 and 3 are used
-	monitorLinks                bool              // controllers monitor their links
-	operatorFile                string            // operator settings of real processes; empty: none
-	transport                   http.RoundTripper // carries requests to real processes; nil: the default of net/http
+	txnOps                      int                 // most writes in one transaction of the state service
+	valueKB                     float64             // largest value in the state service, KiB
+	writeRPS                    float64             // writes per second that the state service allows
+	stateRPS, cloudRPS          float64             // requests per second; if stateRPS is 0, 150 and 3 are used
+	monitorLinks                bool                // controllers monitor their links
+	operatorFile                string              // operator settings of real processes; empty: none
+	transport                   http.RoundTripper   // carries requests to real processes; nil: the default of net/http
 }
 
 // scheduledEvent runs a function at a simulated time. Events of the same time run in the order
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -120,8 +120,8 @@
 // the cloud uses to recognize a retry. No other incarnation of any node may ever use
 // the same prefix.
 func New(rps, listLagS float64, requestPrefix string, log func(slog.Level, string, ...any)) *Manager {
-	// The budget allows one call at once: a node accepts no jobs before it has read
-	// the machine types.
+	// The budget starts with one call, so that the first request does not wait: a node accepts no
+	// jobs before it has read the machine types.
 	return &Manager{budget: 1, log: log, rate: rps * limits.CloudBudgetUse, requestPrefix: requestPrefix, listLag: limits.Seconds(listLagS),
 		replyHandlers: map[uint64]func(int, []byte){}, Types: map[string]*wire.MachineType{}, Rentals: map[string]*Rental{},
 		backoffUntil: map[Kind]time.Duration{}, requestedCounts: map[Kind]int{}, unconfirmedRequests: map[string]*rentalRequest{}, deletedAt: map[string]time.Duration{}}
@@ -289,9 +289,9 @@
 func (m *Manager) confirmDeletion(id string) {
 	delete(m.Rentals, id)
 	m.deletedAt[id] = m.now
-	for deletedID, at := range m.deletedAt {
+	for deletedID, deletedAt := range m.deletedAt {
 		// No list or heartbeat lags by more than 20 minutes.
-		if m.now-at > 20*time.Minute {
+		if m.now-deletedAt > 20*time.Minute {
 			delete(m.deletedAt, deletedID)
 		}
 	}
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -78,10 +78,10 @@
 
 	// Failures, to distinguish a faulty job from a faulty machine.
 	FailedOn     map[string]bool
-	MarkedFaulty bool // an earlier owner considered the job faulty
-	Succeeded    bool
-	Backoff      time.Duration
-	NotBefore    time.Duration
+	MarkedFaulty bool          // an earlier owner considered the job faulty
+	Succeeded    bool          // a task of the job was completed under this owner
+	Backoff      time.Duration // pause after the job failed on several machines; doubles each time
+	NotBefore    time.Duration // no task is launched before this time
 
 	displayDone, displayRunning int // counts reported by the owner, for display
 }
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -120,7 +120,8 @@
 	// SlowStoreReply is the latency from which a reply of the state service is logged as
 	// slow; normal replies take milliseconds.
 	SlowStoreReply = 250 * time.Millisecond
-	// KnowledgeLogInterval is how often each node logs its view of the state service.
+	// KnowledgeLogInterval is how often each node logs the state on which it acts,
+	// such as the leader, its terms and the age of its mirror of the state service.
 	KnowledgeLogInterval = 10 * time.Second
 	// StoreBackoff is the pause after the state service failed or refused a request.
 	StoreBackoff = 300 * time.Millisecond
@@ -311,7 +312,7 @@
 	EstimateErrorFactor = 1.3
 	RedoSlack           = 10 * time.Second
 	// RentHorizon is the time within which work without a target, or past all its
-	// targets, should be done: a rental is charged for at least a minute.
+	// targets, should be done. It is a minute because a rental is charged for at least that long.
 	RentHorizon = 60 * time.Second
 	// MinUsefulRental is the least time, after its boot, for which a machine is rented.
 	MinUsefulRental = 30 * time.Second
@@ -440,8 +441,8 @@
 
 // Preemption of resources that a team has borrowed in excess of its guarantee.
 const (
-	// PreemptInterval is the pause between checks for resources to preempt: a start within a
-	// guarantee may take some seconds.
+	// PreemptInterval is the pause between checks for resources to preempt. The pause delays the start
+	// of tasks within their team's guarantee, which may take some seconds.
 	PreemptInterval = 500 * time.Millisecond
 	// MaxPreemptShare bounds the machines on which one check may preempt tasks: one machine plus this
 	// fraction of all machines. Without this bound, tasks that are about to end by themselves would all
--- a/internal/ownership/extension.go
+++ b/internal/ownership/extension.go
@@ -16,9 +16,9 @@
 		n.now = now
 	}
 	if !n.store.Mirror.Loaded {
-		// Before the mirror is loaded, this node takes over no class, and can grant an extension. But
-		// until one of its requests has failed, it has no evidence that the state service is down for
-		// all nodes.
+		// Before the mirror is loaded, this node takes over no class, so an extension that it grants
+		// cannot conflict with a takeover of its own. But until one of its requests has failed, it has
+		// no evidence that the state service is down for all nodes.
 		if n.store.LastFail == 0 {
 			return false
 		}
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -34,27 +34,27 @@
 // Job is a validated submission. It is also the record that is stored in the state service,
 // so the encoded names of its fields are short.
 type Job struct {
-	ID          string   `msgpack:"i"`
-	Class       string   `msgpack:"c,omitempty"`
-	Team        string   `msgpack:"t"`
-	Urgency     int      `msgpack:"u,omitempty"`
-	Tasks       int      `msgpack:"n"`
-	Gang        bool     `msgpack:"ga,omitempty"` // all tasks run at the same time, or none does
-	CPUs        float64  `msgpack:"p"`
-	GPUs        float64  `msgpack:"g,omitempty"`
-	MemoryGB    float64  `msgpack:"m"`
-	Image       string   `msgpack:"l,omitempty"`
-	ImageGB     float64  `msgpack:"lg,omitempty"`
-	Types       []string `msgpack:"b,omitempty"` // the machine types on which a task fits
-	Zone        string   `msgpack:"z,omitempty"`
-	OneZone     bool     `msgpack:"oz,omitempty"`
-	Spread      bool     `msgpack:"sp,omitempty"`
-	Spot        bool     `msgpack:"s,omitempty"`
-	EstimateS   float64  `msgpack:"e"`
-	CheckpointS float64  `msgpack:"k,omitempty"` // 0: the tasks save no checkpoints
-	SaveS       float64  `msgpack:"sv,omitempty"`
-	DeadlineS   float64  `msgpack:"d,omitempty"` // 0: none
-	SubmitUnix  float64  `msgpack:"at"`          // Unix time of acceptance, seconds
+	ID            string   `msgpack:"i"`
+	Class         string   `msgpack:"c,omitempty"`
+	Team          string   `msgpack:"t"`
+	Urgency       int      `msgpack:"u,omitempty"`
+	Tasks         int      `msgpack:"n"`
+	Gang          bool     `msgpack:"ga,omitempty"` // all tasks run at the same time, or none does
+	CPUs          float64  `msgpack:"p"`
+	GPUs          float64  `msgpack:"g,omitempty"`
+	MemoryGB      float64  `msgpack:"m"`
+	Image         string   `msgpack:"l,omitempty"`
+	ImageGB       float64  `msgpack:"lg,omitempty"`
+	Types         []string `msgpack:"b,omitempty"` // the machine types on which a task fits
+	Zone          string   `msgpack:"z,omitempty"`
+	OneZone       bool     `msgpack:"oz,omitempty"`
+	Spread        bool     `msgpack:"sp,omitempty"`
+	Spot          bool     `msgpack:"s,omitempty"`
+	EstimateS     float64  `msgpack:"e"`            // estimated run time of a task
+	CheckpointS   float64  `msgpack:"k,omitempty"`  // 0: the tasks save no checkpoints
+	SaveDurationS float64  `msgpack:"sv,omitempty"` // time that a task takes to save a checkpoint
+	DeadlineS     float64  `msgpack:"d,omitempty"`  // 0: none
+	SubmitUnix    float64  `msgpack:"at"`           // Unix time of acceptance, seconds
 }
 
 // Submission is a parsed submission whose machine types are not resolved yet: Job.Types is empty.
@@ -110,7 +110,7 @@
 	submission.Spot = parser.flag("loaners")
 	submission.EstimateS = parser.number("reckonS", true)
 	submission.CheckpointS = parser.number("markS", true)
-	submission.SaveS = parser.number("stowS", true)
+	submission.SaveDurationS = parser.number("stowS", true)
 	submission.DeadlineS = parser.number("dueS", false)
 	if parser.err != nil {
 		return submission, parser.err
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -35,7 +35,7 @@
 		t.Fatal(err)
 	}
 	want := &Submission{AllowedTypes: []string{"g8"}, Job: Job{ID: "job-000412", Class: "train", Team: "vision", Urgency: 2, Tasks: 16, CPUs: 8, GPUs: 1,
-		MemoryGB: 64, Image: "img-07", ImageGB: 6.2, OneZone: true, Spot: true, EstimateS: 240, CheckpointS: 30, SaveS: 4, DeadlineS: 900}}
+		MemoryGB: 64, Image: "img-07", ImageGB: 6.2, OneZone: true, Spot: true, EstimateS: 240, CheckpointS: 30, SaveDurationS: 4, DeadlineS: 900}}
 	if d := cmp.Diff(want, got); d != "" {
 		t.Error(d)
 	}
--- a/internal/workers/heartbeats.go
+++ b/internal/workers/heartbeats.go
@@ -14,7 +14,7 @@
 	Stale     Verdict = iota // not newer than a heartbeat received before: must not be answered with 200
 	Deposed                  // the worker has seen a higher fencing token than this owner's
 	Overtaken                // may be answered, but its task list is older than that of the reply to a direct order
-	Unproven                 // may be answered, but its task list proves nothing yet: the worker has not seen this owner's fencing token
+	Unproven                 // may be answered, but its task list is not reliable yet: the worker has not seen this owner's fencing token
 	Current                  // its task list is complete and up to date
 )
 
--- a/internal/workers/machine.go
+++ b/internal/workers/machine.go
@@ -58,9 +58,9 @@
 // updateRecall updates RecallAt and Draining from the recall notice in a heartbeat.
 func (m *Machine) updateRecall(now time.Duration, heartbeat *wire.Heartbeat) {
 	if heartbeat.RecallS != nil {
-		at := now + limits.Seconds(*heartbeat.RecallS)
-		if m.RecallAt == 0 || at < m.RecallAt {
-			m.RecallAt = at
+		recallAt := now + limits.Seconds(*heartbeat.RecallS)
+		if m.RecallAt == 0 || recallAt < m.RecallAt {
+			m.RecallAt = recallAt
 		}
 		m.Draining = true
 	} else {
