--- a/cmd/umberpaddle/main.go
+++ b/cmd/umberpaddle/main.go
@@ -1,5 +1,5 @@
-// Command umberpaddle is a controller of the cluster scheduler and a client for
-// its users.
+// Command umberpaddle runs a controller of the cluster scheduler, and is the command-line client for users
+// and operators.
 package main
 
 import (
--- a/internal/allocation/allocation.go
+++ b/internal/allocation/allocation.go
@@ -1,259 +1,274 @@
-// Package allocation is the online algorithm of UDRF (paper, III-C): as long as
-// any unit fits, it starts one for the team with the lowest dominant share. It
-// is pure: the same input gives the same placements.
+// Package allocation implements the online algorithm of UDRF (paper, III-C): as long as
+// any unit fits on a machine, it starts a unit of the team with the lowest dominant share.
+// It has no state of its own: the same input always gives the same placements.
 package allocation
 
 import (
 	"math"
 )
 
-// Machine is a machine with room.
+// Machine is a machine that can run tasks.
 type Machine struct {
 	ID          string
 	Class       string
 	Zone        string
 	Spot        bool
-	Size        Resources // all that it has
+	Capacity    Resources
 	Free        Resources
-	FetchGBps   float64         // GB a second
-	Images      map[string]bool // images that it has (true) or fetches; not changed by Run
-	Busy        bool            // it has tasks; an idle one may soon be returned
-	fetching    map[string]bool // images that this run's placements make it fetch
-	reservedFor string          // the only job whose tasks it takes
-	GangsOnly   bool            // takes only gangs
+	FetchGBps   float64         // rate of image fetches, GB per second
+	Images      map[string]bool // true: image present; false: being fetched. Not changed by Run
+	Busy        bool            // runs tasks; an idle machine may soon be returned to the cloud
+	fetching    map[string]bool // images that the placements of the current Run make it fetch
+	reservedFor string          // the only job whose tasks it accepts; empty: any
+	GangsOnly   bool            // accepts only gangs
 }
 
-// Unit is a job's waiting tasks, which are all alike. The algorithm starts one at a
-// time, or all of them where they are a gang.
+// Unit is the set of waiting tasks of one job, which are all alike. The algorithm starts
+// them one at a time, or all at once if they are a gang.
 type Unit struct {
-	Job     string
-	Need    Resources
-	Count   int
-	Image   string
-	Classes map[string]bool
-	Shape   string // equal for units with equal Classes, Zone and Spot; empty: unknown
-	Zone    string // the only zone allowed, or empty
-	Spot    bool   // spot machines allowed
-	OneZone bool
-	Spread  bool
-	Tasks   int            // all tasks of the job
-	ByZone  map[string]int // its placed tasks by zone, for OneZone and Spread; changed by Run
-	Avoid   map[string]bool
-	Safe    bool // better not on a spot machine
-	// Within is how soon tasks should have started, s, and ImageGB what a machine
-	// without the image has to fetch first; 0: no matter.
+	Job              string
+	Need             Resources // of one task
+	Count            int       // waiting tasks
+	Image            string
+	Classes          map[string]bool // allowed machine classes
+	Shape            string          // equal for units with equal Classes, Zone and Spot; empty: unknown
+	Zone             string          // the only zone allowed; empty: any
+	Spot             bool            // may run on spot machines
+	OneZone          bool            // all tasks must be in one zone
+	Spread           bool            // at most half of the tasks, rounded up, may be in one zone
+	Tasks            int             // all tasks of the job, including those that do not wait
+	PlacedByZone     map[string]int  // placed tasks by zone, for OneZone and Spread; changed by Run
+	ExcludedMachines map[string]bool // IDs of machines that must not be used
+	PreferOnDemand   bool            // on-demand machines are preferred to spot machines
+	// StartWithin is the time in seconds within which the tasks should start; 0: no target.
+	// ImageGB is the size of the image, which a machine without it has to fetch first.
 	StartWithin, ImageGB float64
-	Overdue              bool // has waited too long to begin: HoldRoom keeps room for it
-	Low                  bool // of the lowest priority
-	Gang                 bool // all Count tasks are placed together or none is
-	Urgent               bool // Return asks for room for it beyond its team's guarantee, too
+	Overdue              bool // has waited too long to start: ReserveForOverdue may reserve machines for it
+	LowPriority          bool // of the lowest priority
+	Gang                 bool // either all Count tasks are placed together or none
+	Urgent               bool // may preempt low-priority tasks of other teams even beyond its own team's guarantee
 
-	lastMachine *Machine // where Run put the last task of it
-	lastRank    int
+	lastMachine *Machine // machine that Run chose for the unit's previous task
+	lastRank    int      // rank of lastMachine when it was chosen
 }
 
-// Reserve leaves a machine to one job.
+// Reserve makes the machine accept only tasks of the given job.
 func (m *Machine) Reserve(job string) { m.reservedFor = job }
 
+// allows reports whether the unit's tasks may run on the machine. It does not check
+// free resources.
 func (u *Unit) allows(m *Machine) bool {
-	if (m.reservedFor != "" && m.reservedFor != u.Job) || (m.GangsOnly && !u.Gang) || !u.Classes[m.Class] || (m.Spot && !u.Spot) || (u.Zone != "" && u.Zone != m.Zone) || u.Avoid[m.ID] {
+	if (m.reservedFor != "" && m.reservedFor != u.Job) || (m.GangsOnly && !u.Gang) || !u.Classes[m.Class] || (m.Spot && !u.Spot) || (u.Zone != "" && u.Zone != m.Zone) || u.ExcludedMachines[m.ID] {
 		return false
 	}
 	if u.OneZone {
-		for z, n := range u.ByZone {
-			if n > 0 && z != m.Zone {
+		for zone, placed := range u.PlacedByZone {
+			if placed > 0 && zone != m.Zone {
 				return false
 			}
 		}
 	}
-	return !u.Spread || u.ByZone[m.Zone] < (u.Tasks+1)/2
+	return !u.Spread || u.PlacedByZone[m.Zone] < (u.Tasks+1)/2
 }
 
-// Team is a team's claim: what it has booked, its bounds, and its units in the
-// order in which it wants them.
+// Team is the demand of one team: its booked resources, its limits, and its units in the
+// order in which they should start.
 type Team struct {
 	Name      string
 	Booked    map[string]Resources // by class
-	Unknown   Resources            // may be running where we can't see it: counts against the limit
-	MaxCPUs   float64              // 0: none
-	MaxGPUs   float64
-	Guarantee Resources // Memory unused; 0: none
+	Unknown   Resources            // may be in use on machines of unknown state: counts toward the limit
+	MaxCPUs   float64              // limit; 0: none
+	MaxGPUs   float64              // limit; 0: none
+	Guarantee Resources            // Memory is ignored; zero: no guarantee
 	Units     []*Unit
 }
 
+// total returns the booked resources of all classes plus Unknown.
 func (t *Team) total() Resources {
-	r := t.Unknown
-	for _, b := range t.Booked {
-		r = r.Add(b, 1)
+	sum := t.Unknown
+	for _, booked := range t.Booked {
+		sum = sum.Add(booked, 1)
 	}
-	return r
+	return sum
 }
 
+// underLimit reports whether the team stays within its limits if need is added to total.
 func (t *Team) underLimit(total, need Resources) bool {
 	return (t.MaxCPUs <= 0 || total.CPUs+need.CPUs <= t.MaxCPUs+epsilon) &&
 		(t.MaxGPUs <= 0 || total.GPUs+need.GPUs <= t.MaxGPUs+epsilon)
 }
 
-// guaranteed tells whether one more unit stays within the team's guarantee.
-func (t *Team) guaranteed(total, need Resources) bool {
+// withinGuarantee reports whether the team stays within its guarantee if need is added to
+// total.
+func (t *Team) withinGuarantee(total, need Resources) bool {
 	if t.Guarantee.CPUs <= 0 && t.Guarantee.GPUs <= 0 {
 		return false
 	}
 	return total.CPUs+need.CPUs <= t.Guarantee.CPUs+epsilon && (need.GPUs <= 0 || total.GPUs+need.GPUs <= t.Guarantee.GPUs+epsilon)
 }
 
-// total is what a unit takes at once: one task, or a whole gang.
-func (u *Unit) total() Resources {
+// startNeed returns the resources that the next start of the unit takes: those of one
+// task, or of the whole gang.
+func (u *Unit) startNeed() Resources {
 	if u.Gang {
 		return Resources{}.Add(u.Need, float64(u.Count))
 	}
 	return u.Need
 }
 
-// rank tells what comes before the share: what is within a guarantee; then teams that
-// have one; then others; and low work of these last. Teams without a guarantee take
-// what is left, and low work does where nobody has one.
+// rank returns the precedence of a team's next unit; the dominant share decides only
+// between equal ranks. Units within a guarantee come first, then the other units of teams
+// with a guarantee, then those of teams without one, and of these the low-priority units
+// last. Teams without a guarantee therefore use what the others leave, and so does
+// low-priority work where no team has a guarantee.
 func (t *Team) rank(total Resources, u *Unit) int {
 	switch {
-	case t.guaranteed(total, u.total()):
+	case t.withinGuarantee(total, u.startNeed()):
 		return 3
 	case t.Guarantee != (Resources{}):
 		return 2
-	case !u.Low:
+	case !u.LowPriority:
 		return 1
 	}
 	return 0
 }
 
-// Share is the team's dominant share: its largest booked part of any resource
-// of any class (paper, equation 12, with booked amounts for x*d).
-func Share(booked, capacity map[string]Resources) float64 {
-	s := 0.0
-	part := func(b, c float64) {
-		if c > 0 {
-			s = math.Max(s, b/c)
+// DominantShare returns a team's dominant share: the largest booked fraction of any
+// resource of any class (paper, equation 12, with booked amounts for x*d).
+func DominantShare(booked, capacity map[string]Resources) float64 {
+	share := 0.0
+	include := func(amount, available float64) {
+		if available > 0 {
+			share = math.Max(share, amount/available)
 		}
 	}
-	for class, b := range booked {
-		c := capacity[class]
-		part(b.CPUs, c.CPUs)
-		part(b.GPUs, c.GPUs)
-		part(b.Memory, c.Memory)
+	for class, amounts := range booked {
+		available := capacity[class]
+		include(amounts.CPUs, available.CPUs)
+		include(amounts.GPUs, available.GPUs)
+		include(amounts.Memory, available.Memory)
 	}
-	return s
+	return share
 }
 
-// Placement puts one task of a unit's job on a machine.
+// Placement assigns one task of a unit's job to a machine.
 type Placement struct {
 	Team    string
 	Unit    *Unit
 	Machine *Machine
 }
 
-// teamRun is a team in the course of a run.
-type teamRun struct {
+// teamState is the state of a team during Run.
+type teamState struct {
 	*Team
-	next  int // of its units
-	sum   Resources
-	share float64
+	nextIndex int       // index of the next unit to start
+	used      Resources // the team's total, including the placements of this run
+	share     float64   // dominant share
 }
 
-// nextUnit passes over the units that can't start and returns the next one that may, or nil.
-func (t *teamRun) nextUnit(failed map[string][]Resources) *Unit {
-	for ; t.next < len(t.Units); t.next++ {
-		u := t.Units[t.next]
-		if u.Count > 0 && t.underLimit(t.sum, u.total()) && !u.cannotFit(failed) {
-			return u
+// nextUnit returns the team's next unit that may start, or nil. It advances past units that
+// cannot start.
+func (t *teamState) nextUnit(failed map[string][]Resources) *Unit {
+	for ; t.nextIndex < len(t.Units); t.nextIndex++ {
+		unit := t.Units[t.nextIndex]
+		if unit.Count > 0 && t.underLimit(t.used, unit.startNeed()) && !unit.knownNotToFit(failed) {
+			return unit
 		}
 	}
 	return nil
 }
 
-// book adds what a unit got to the team's amounts.
-func (t *teamRun) book(u *Unit, chosen []*Machine, capacity map[string]Resources) {
+// book records the placement of one task on each of the chosen machines.
+func (t *teamState) book(u *Unit, chosen []*Machine, capacity map[string]Resources) {
 	u.Count -= len(chosen)
-	for _, m := range chosen {
-		m.Busy = true
-		if u.Image != "" && !m.hasImage(u.Image) {
-			if m.fetching == nil {
-				m.fetching = map[string]bool{}
+	for _, machine := range chosen {
+		machine.Busy = true
+		if u.Image != "" && !machine.hasOrFetches(u.Image) {
+			if machine.fetching == nil {
+				machine.fetching = map[string]bool{}
 			}
-			m.fetching[u.Image] = true
+			machine.fetching[u.Image] = true
 		}
-		t.Booked[m.Class] = t.Booked[m.Class].Add(u.Need, 1)
-		t.sum = t.sum.Add(u.Need, 1)
+		t.Booked[machine.Class] = t.Booked[machine.Class].Add(u.Need, 1)
+		t.used = t.used.Add(u.Need, 1)
 	}
-	t.share = Share(t.Booked, capacity)
+	t.share = DominantShare(t.Booked, capacity)
 }
 
-// neediest chooses the team whose turn it is, and its next unit; nil if none has one.
-func neediest(teams []*teamRun, failed map[string][]Resources) (best *teamRun, unit *Unit) {
-	rank := 0
-	for _, t := range teams {
-		u := t.nextUnit(failed)
-		if u == nil {
+// nextTeam returns the team that starts a unit next, and that unit. It returns nil if no
+// team has a unit that may start.
+func nextTeam(teams []*teamState, failed map[string][]Resources) (best *teamState, unit *Unit) {
+	bestRank := 0
+	for _, team := range teams {
+		next := team.nextUnit(failed)
+		if next == nil {
 			continue
 		}
-		r := t.rank(t.sum, u)
-		if best == nil || r > rank || (r == rank && t.share < best.share) {
-			best, unit, rank = t, u, r
+		rank := team.rank(team.used, next)
+		if best == nil || rank > bestRank || (rank == bestRank && team.share < best.share) {
+			best, unit, bestRank = team, next, rank
 		}
 	}
 	return best, unit
 }
 
-// Run fills the machines. largest is the largest unit that unfinished jobs may
-// ask of each class: small units keep out of its way. It changes Free, Busy,
-// Booked, Count and ByZone as it goes.
-// A team whose next unit fits nowhere goes on with its next job of another
-// shape; with none left it is skipped. Teams below their guarantee come first:
-// the plain lowest share could leave them behind for want of capacity. See rank.
+// Run places waiting units on machines until nothing more fits, and returns the placements.
+// largest is the largest unit that unfinished jobs may request, by class: smaller units
+// avoid the machines that it needs. Run changes Free, Busy, Booked, Count and PlacedByZone.
+//
+// If a team's next unit fits on no machine, the team continues with its next job of another
+// shape; a team without such a job is skipped. Teams below their guarantee come before all
+// others (see rank): with the lowest share alone they could remain below it when capacity
+// is short.
 func Run(teams []*Team, machines []*Machine, capacity, largest map[string]Resources) []Placement {
-	var out []Placement
-	var runs []*teamRun
-	for _, t := range teams {
-		runs = append(runs, &teamRun{Team: t, sum: t.total(), share: Share(t.Booked, capacity)})
-		for _, u := range t.Units {
-			u.lastMachine = nil
+	var placements []Placement
+	var states []*teamState
+	for _, team := range teams {
+		states = append(states, &teamState{Team: team, used: team.total(), share: DominantShare(team.Booked, capacity)})
+		for _, unit := range team.Units {
+			unit.lastMachine = nil
 		}
 	}
-	for _, m := range machines {
-		m.fetching = nil
+	for _, machine := range machines {
+		machine.fetching = nil
 	}
-	// Room only shrinks in a run: what found no machine finds none later, nor
-	// does a larger unit that may use the same machines.
+	// Free resources only shrink during a run. A unit that fits on no machine will fit on
+	// none later, and neither will a larger unit that may use the same machines.
 	failed := map[string][]Resources{}
 	for {
-		t, u := neediest(runs, failed)
-		if t == nil {
-			return out
+		team, unit := nextTeam(states, failed)
+		if team == nil {
+			return placements
 		}
-		chosen := placeUnit(u, machines, largest)
+		chosen := placeUnit(unit, machines, largest)
 		if len(chosen) == 0 {
-			if u.isPlain() {
-				failed[u.Shape] = append(failed[u.Shape], u.Need)
+			if unit.fitDependsOnShape() {
+				failed[unit.Shape] = append(failed[unit.Shape], unit.Need)
 			}
-			t.next++
+			team.nextIndex++
 			continue
 		}
-		t.book(u, chosen, capacity)
-		for _, m := range chosen {
-			out = append(out, Placement{t.Name, u, m})
+		team.book(unit, chosen, capacity)
+		for _, machine := range chosen {
+			placements = append(placements, Placement{team.Name, unit, machine})
 		}
 	}
 }
 
-// isPlain tells whether nothing but Shape and Need decides where a unit may go.
-func (u *Unit) isPlain() bool {
-	return u.Shape != "" && !u.Gang && !u.Overdue && !u.OneZone && !u.Spread && len(u.Avoid) == 0
+// fitDependsOnShape reports whether Shape and Need alone determine on which machines the
+// unit fits.
+func (u *Unit) fitDependsOnShape() bool {
+	return u.Shape != "" && !u.Gang && !u.Overdue && !u.OneZone && !u.Spread && len(u.ExcludedMachines) == 0
 }
 
-func (u *Unit) cannotFit(failed map[string][]Resources) bool {
-	if !u.isPlain() {
+// knownNotToFit reports whether a unit of the same shape that needs no more than this one
+// has already fitted on no machine. failed lists the needs of such units by shape.
+func (u *Unit) knownNotToFit(failed map[string][]Resources) bool {
+	if !u.fitDependsOnShape() {
 		return false
 	}
-	for _, f := range failed[u.Shape] {
-		if f.Fits(u.Need) {
+	for _, need := range failed[u.Shape] {
+		if need.Fits(u.Need) {
 			return true
 		}
 	}
--- a/internal/allocation/placement.go
+++ b/internal/allocation/placement.go
@@ -5,66 +5,67 @@
 	"slices"
 )
 
-// muchLarger is how many times larger another unit of a class is when a unit had
-// better keep to other classes.
-const muchLarger = 3
+// largeUnitFactor is how many times larger than a unit the largest unit of a class has to be
+// for the unit to prefer other classes.
+const largeUnitFactor = 3
 
-// fetchShare of the time within which a task should start is what fetching its
-// image may take; the rest is for slower fetches and the way to the machine.
-const fetchShare = 0.6
+// maxFetchFraction is the part of a start target that fetching the image may take. The rest
+// is for slower fetches and for delivering the order to the machine.
+const maxFetchFraction = 0.6
 
-// placeUnit takes room for one task of a unit, or for all tasks of a gang, and tells where;
-// for a gang that fits nowhere as a whole it takes nothing.
+// placeUnit allocates resources for one task of a unit, or for all tasks of a gang, and
+// returns the machines. If a gang does not fit as a whole, nothing is allocated.
 func placeUnit(u *Unit, machines []*Machine, largest map[string]Resources) []*Machine {
 	if u.Gang {
 		return placeGang(u, machines, largest)
 	}
-	if m := u.takeRoom(machines, largest); m != nil {
-		return []*Machine{m}
+	if machine := u.allocateTask(machines, largest); machine != nil {
+		return []*Machine{machine}
 	}
 	return nil
 }
 
-// takeRoom takes room for one task of a unit and tells where, or nil.
-func (u *Unit) takeRoom(machines []*Machine, largest map[string]Resources) *Machine {
-	m := u.stillBest(largest)
-	if m == nil {
-		m = pickMachine(u, machines, largest)
-	}
-	if m != nil {
-		m.Free = m.Free.Add(u.Need, -1)
-		if u.ByZone != nil {
-			u.ByZone[m.Zone]++
+// allocateTask allocates resources for one task of the unit and returns the machine, or nil
+// if the task fits nowhere.
+func (u *Unit) allocateTask(machines []*Machine, largest map[string]Resources) *Machine {
+	machine := u.lastMachineIfBest(largest)
+	if machine == nil {
+		machine = pickMachine(u, machines, largest)
+	}
+	if machine != nil {
+		machine.Free = machine.Free.Add(u.Need, -1)
+		if u.PlacedByZone != nil {
+			u.PlacedByZone[machine.Zone]++
 		}
 	}
-	return m
+	return machine
 }
 
-// giveBack undoes takeRoom.
-func (u *Unit) giveBack(m *Machine) {
+// releaseTask reverts allocateTask.
+func (u *Unit) releaseTask(m *Machine) {
 	m.Free = m.Free.Add(u.Need, 1)
-	if u.ByZone != nil {
-		u.ByZone[m.Zone]--
+	if u.PlacedByZone != nil {
+		u.PlacedByZone[m.Zone]--
 	}
 }
 
-// placeGang takes room for all tasks of a gang, or none.
+// placeGang allocates resources for all tasks of a gang, or for none.
 func placeGang(u *Unit, machines []*Machine, largest map[string]Resources) []*Machine {
 	var chosen []*Machine
 	u.tryZones(machines, func() bool {
 		u.lastMachine = nil
 		for len(chosen) < u.Count {
-			m := u.takeRoom(machines, largest)
-			if m == nil {
+			machine := u.allocateTask(machines, largest)
+			if machine == nil {
 				break
 			}
-			chosen = append(chosen, m)
+			chosen = append(chosen, machine)
 		}
 		if len(chosen) == u.Count {
 			return true
 		}
-		for _, m := range chosen {
-			u.giveBack(m)
+		for _, machine := range chosen {
+			u.releaseTask(machine)
 		}
 		chosen = nil
 		return false
@@ -73,17 +74,18 @@
 	return chosen
 }
 
-// tryZones tries something in one zone after the other for a unit that must be in one, and
-// once for any other, until it succeeds.
+// tryZones calls try with the unit's Zone set to each zone in turn until try returns true. If
+// the unit's zone is already fixed, or its tasks need not share a zone, it calls try once with
+// Zone unchanged. Zone is restored at the end.
 func (u *Unit) tryZones(machines []*Machine, try func() bool) {
-	zone := u.Zone
-	defer func() { u.Zone = zone }()
+	original := u.Zone
+	defer func() { u.Zone = original }()
 	zones := map[string]bool{}
-	for _, m := range machines {
-		zones[m.Zone] = true
+	for _, machine := range machines {
+		zones[machine.Zone] = true
 	}
-	if !u.OneZone || zone != "" {
-		zones = map[string]bool{zone: true}
+	if !u.OneZone || original != "" {
+		zones = map[string]bool{original: true}
 	}
 	for _, u.Zone = range slices.Sorted(maps.Keys(zones)) {
 		if try() {
@@ -92,67 +94,70 @@
 	}
 }
 
-// hasImage tells whether the image is there, or at least on its way.
-func (m *Machine) hasImage(image string) bool {
+// hasOrFetches reports whether the machine has the image or is fetching it.
+func (m *Machine) hasOrFetches(image string) bool {
 	_, known := m.Images[image]
 	return known || m.fetching[image]
 }
 
-// stillBest tells whether the machine that took the last task of the unit is still
-// the best one: it has less room than before, and if it ranks no lower, nothing
-// that pick would look at has come before it.
-func (u *Unit) stillBest(largest map[string]Resources) *Machine {
-	if m := u.lastMachine; m != nil && u.Need.Fits(m.Free) && u.allows(m) && u.rankMachine(m, largest) >= u.lastRank {
-		return m
+// lastMachineIfBest returns the machine of the unit's previous task if it is still the best
+// choice, and otherwise nil. The machine now has less free resources than when pickMachine
+// chose it. As pickMachine prefers less free resources among equal ranks, the machine remains
+// its choice unless the machine's rank has dropped.
+func (u *Unit) lastMachineIfBest(largest map[string]Resources) *Machine {
+	if machine := u.lastMachine; machine != nil && u.Need.Fits(machine.Free) && u.allows(machine) && u.rankMachine(machine, largest) >= u.lastRank {
+		return machine
 	}
 	return nil
 }
 
-// pickMachine chooses the machine for a unit among those with room: the one of the
-// highest rank, and among equals the one with the least room left, so that
-// others run empty and can be returned; and then first-fit.
+// pickMachine returns the machine of the highest rank on which a task of the unit fits, or
+// nil. Among machines of equal rank it returns the one with the fewest free CPUs, so that the
+// other machines become idle and can be returned, and among those the first in the list.
 func pickMachine(u *Unit, machines []*Machine, largest map[string]Resources) *Machine {
 	var best *Machine
-	rank := -1
-	for _, m := range machines {
-		if !u.Need.Fits(m.Free) || !u.allows(m) {
+	bestRank := -1
+	for _, machine := range machines {
+		if !u.Need.Fits(machine.Free) || !u.allows(machine) {
 			continue
 		}
-		if r := u.rankMachine(m, largest); r > rank || (r == rank && m.Free.CPUs < best.Free.CPUs-epsilon) {
-			best, rank = m, r
+		if rank := u.rankMachine(machine, largest); rank > bestRank || (rank == bestRank && machine.Free.CPUs < best.Free.CPUs-epsilon) {
+			best, bestRank = machine, rank
 		}
 	}
-	u.lastMachine, u.lastRank = best, rank
+	u.lastMachine, u.lastRank = best, bestRank
 	return best
 }
 
-// rankMachine ranks a machine by what counts most: that a unit that should start soon
-// need not wait for its image; that a unit that should be safe is on an ordinary
-// machine; that the class is not one that much larger units need;
-// that the largest unit of the class loses no room, for small units spread over
-// large machines lock it out; that the image is there,
-// since a fetch takes room for as long as a short task runs; that the machine is
-// busy.
+// rankMachine returns how well a machine suits the unit. The criteria, most important first:
+//   - A unit with a start target does not wait for its image longer than the target allows.
+//   - A unit that prefers on-demand machines gets one.
+//   - No unit of the machine's class is much larger.
+//   - The machine can run as many of the class's largest unit as before. Otherwise, small
+//     units spread over large machines leave no room for the largest unit.
+//   - The image is present or being fetched: a fetch occupies the task's resources for as
+//     long as a short task runs.
+//   - The machine is busy.
 func (u *Unit) rankMachine(m *Machine, largest map[string]Resources) int {
-	r := 0
-	if u.StartWithin > 0 && (u.Image == "" || m.Images[u.Image] || u.ImageGB <= fetchShare*u.StartWithin*m.FetchGBps) {
-		r += 32
+	rank := 0
+	if u.StartWithin > 0 && (u.Image == "" || m.Images[u.Image] || u.ImageGB <= maxFetchFraction*u.StartWithin*m.FetchGBps) {
+		rank += 32
 	}
-	big := largest[m.Class]
-	if u.Safe && !m.Spot {
-		r += 16
+	largestUnit := largest[m.Class]
+	if u.PreferOnDemand && !m.Spot {
+		rank += 16
 	}
-	if big.CPUs < muchLarger*u.Need.CPUs {
-		r += 8
+	if largestUnit.CPUs < largeUnitFactor*u.Need.CPUs {
+		rank += 8
 	}
-	if big == u.Need || big.CountIn(m.Free) == big.CountIn(m.Free.Add(u.Need, -1)) {
-		r += 4
+	if largestUnit == u.Need || largestUnit.CountIn(m.Free) == largestUnit.CountIn(m.Free.Add(u.Need, -1)) {
+		rank += 4
 	}
-	if u.Image == "" || m.hasImage(u.Image) {
-		r += 2
+	if u.Image == "" || m.hasOrFetches(u.Image) {
+		rank += 2
 	}
 	if m.Busy {
-		r++
+		rank++
 	}
-	return r
+	return rank
 }
--- a/internal/allocation/preemption.go
+++ b/internal/allocation/preemption.go
@@ -6,106 +6,111 @@
 	"sort"
 )
 
-// Preemptible is a running task whose room its team may be asked to return: it loses
-// nothing when it is stopped. ID is the caller's.
+// Preemptible is a running task that may be stopped to return its resources to other teams.
+// It loses nothing when it is stopped.
 type Preemptible struct {
-	ID      int
-	Team    string
-	Machine *Machine
-	Need    Resources
-	Low     bool // gives way to urgent units of other teams
+	ID          int // assigned by the caller
+	Team        string
+	Machine     *Machine
+	Need        Resources
+	LowPriority bool // may be preempted by urgent units of other teams
 }
 
-// Preemption is room that a unit waits for: the loans on a machine that are to end,
-// so that one task of the unit fits.
+// Preemption names the tasks to stop on a machine so that tasks of the unit fit there: one
+// task, or a part of a gang.
 type Preemption struct {
 	Unit    *Unit
 	Machine *Machine
 	Victims []Preemptible
 }
 
-// Preempt finds what teams must return. A unit within its team's guarantee that
-// fits nowhere gets room from teams that run beyond theirs (deployment page:
-// what is borrowed must be returned), and an urgent unit from low tasks. pending
-// counts the tasks of each job that room is on its way for, and at most most
-// machines are named, or those of one gang. A gang gets room for all its tasks, on several
-// machines, or none; some of these may have no victims and are only to be kept for it. It
-// belongs after Run, which has placed what fits.
-func Preempt(teams []*Team, machines []*Machine, candidates []Preemptible, pending map[string]int, most int) []Preemption {
-	p := newPreemptor(teams, machines, candidates, pending, most)
-	for _, t := range teams {
-		total := t.total()
-		for _, u := range t.Units {
-			if u.Gang {
-				total = p.preemptForGang(t, u, total)
+// Preempt chooses the tasks that teams must stop for other teams' units. It is called after
+// Run, which has placed what fits. A unit within its team's guarantee may preempt the tasks of
+// teams that exceed theirs (deployment page: what is borrowed must be returned). An urgent
+// unit may also preempt low-priority tasks of such teams when it is beyond its own team's
+// guarantee.
+//
+// pending is the number of tasks of each job for which resources are already being freed.
+// Preempt chooses at most maxMachines machines, or all machines of one gang if that gang alone
+// needs more. For a gang it frees resources for all tasks, usually on several machines, or for
+// none. Some of these machines may have no victims: they are only to be reserved for the gang.
+func Preempt(teams []*Team, machines []*Machine, candidates []Preemptible, pending map[string]int, maxMachines int) []Preemption {
+	p := newPreemptor(teams, machines, candidates, pending, maxMachines)
+	for _, team := range teams {
+		total := team.total()
+		for _, unit := range team.Units {
+			if unit.Gang {
+				total = p.preemptForGang(team, unit, total)
 			} else {
-				total = p.preemptForTasks(t, u, total)
+				total = p.preemptForTasks(team, unit, total)
 			}
 		}
 	}
-	return p.out
+	return p.results
 }
 
 // preemptor is the state of one call of Preempt.
 type preemptor struct {
-	machines   []*Machine
-	lending    []*Machine                 // those with candidates
-	lenders    map[string]bool            // teams with candidates
-	candidates map[*Machine][]Preemptible // largest first; without machines that are taken
-	totals     map[string]Resources       // what each team runs, without the victims
-	guarantees map[string]Resources
-	pending    map[string]int
-	most       int
-	out        []Preemption
+	machines          []*Machine
+	candidateMachines []*Machine                 // machines with candidates at the start
+	candidateTeams    map[string]bool            // teams with candidates
+	candidates        map[*Machine][]Preemptible // by CPUs, largest first; without machines already chosen
+	teamTotals        map[string]Resources       // total of each team, without the victims
+	guarantees        map[string]Resources       // by team
+	pending           map[string]int             // tasks for which resources are already being freed, by job
+	maxMachines       int
+	results           []Preemption
 }
 
-func newPreemptor(teams []*Team, machines []*Machine, candidates []Preemptible, pending map[string]int, most int) *preemptor {
-	p := &preemptor{machines: machines, candidates: map[*Machine][]Preemptible{}, totals: map[string]Resources{},
-		lenders: map[string]bool{}, guarantees: map[string]Resources{}, pending: pending, most: most}
-	for _, c := range candidates {
-		if p.candidates[c.Machine] == nil {
-			p.lending = append(p.lending, c.Machine)
+func newPreemptor(teams []*Team, machines []*Machine, candidates []Preemptible, pending map[string]int, maxMachines int) *preemptor {
+	p := &preemptor{machines: machines, candidates: map[*Machine][]Preemptible{}, teamTotals: map[string]Resources{},
+		candidateTeams: map[string]bool{}, guarantees: map[string]Resources{}, pending: pending, maxMachines: maxMachines}
+	for _, task := range candidates {
+		if p.candidates[task.Machine] == nil {
+			p.candidateMachines = append(p.candidateMachines, task.Machine)
 		}
-		p.candidates[c.Machine] = append(p.candidates[c.Machine], c)
-		p.lenders[c.Team] = true
+		p.candidates[task.Machine] = append(p.candidates[task.Machine], task)
+		p.candidateTeams[task.Team] = true
 	}
-	for _, list := range p.candidates {
-		sort.SliceStable(list, func(a, b int) bool { return list[a].Need.CPUs > list[b].Need.CPUs })
+	for _, tasks := range p.candidates {
+		sort.SliceStable(tasks, func(a, b int) bool { return tasks[a].Need.CPUs > tasks[b].Need.CPUs })
 	}
-	for _, t := range teams {
-		p.totals[t.Name], p.guarantees[t.Name] = t.total(), t.Guarantee
+	for _, team := range teams {
+		p.teamTotals[team.Name], p.guarantees[team.Name] = team.total(), team.Guarantee
 	}
 	return p
 }
 
-// mayPreempt tells whether a task may be taken after others of its team.
+// mayPreempt reports whether a task may be preempted in addition to tasks of its team that use
+// the resources taken.
 type mayPreempt func(task Preemptible, taken Resources) bool
 
-// allowed tells what a team may take: of others that run beyond their guarantee, and only low
-// tasks unless it is within its own.
-func (p *preemptor) allowed(team string, within bool) mayPreempt {
+// victimFilter returns which tasks a unit of the given team may preempt: tasks of other teams,
+// as long as their team still exceeds its guarantee. A unit that is not within its own team's
+// guarantee may preempt only low-priority tasks.
+func (p *preemptor) victimFilter(team string, withinGuarantee bool) mayPreempt {
 	return func(task Preemptible, taken Resources) bool {
-		guarantee, left := p.guarantees[task.Team], p.totals[task.Team].Add(taken, -1)
-		beyond := left.CPUs > guarantee.CPUs+epsilon || left.GPUs > guarantee.GPUs+epsilon
-		return task.Team != team && beyond && (within || task.Low)
+		guarantee, remaining := p.guarantees[task.Team], p.teamTotals[task.Team].Add(taken, -1)
+		exceeds := remaining.CPUs > guarantee.CPUs+epsilon || remaining.GPUs > guarantee.GPUs+epsilon
+		return task.Team != team && exceeds && (withinGuarantee || task.LowPriority)
 	}
 }
 
-// take names a machine's victims.
-func (p *preemptor) take(x Preemption) {
-	for _, victim := range x.Victims {
-		p.totals[victim.Team] = p.totals[victim.Team].Add(victim.Need, -1)
+// add records a preemption.
+func (p *preemptor) add(chosen Preemption) {
+	for _, victim := range chosen.Victims {
+		p.teamTotals[victim.Team] = p.teamTotals[victim.Team].Add(victim.Need, -1)
 	}
-	delete(p.candidates, x.Machine) // one at a time on a machine
-	p.out = append(p.out, x)
+	delete(p.candidates, chosen.Machine) // only one preemption at a time per machine
+	p.results = append(p.results, chosen)
 }
 
-// preemptForTasks makes room for as many tasks of a unit as may be, each on its own, and
-// returns what the team then runs.
+// preemptForTasks preempts for the tasks of a unit that is not a gang, one task at a time. It
+// returns the team's total including the tasks that it has tried to serve.
 func (p *preemptor) preemptForTasks(t *Team, u *Unit, total Resources) Resources {
-	for n := u.Count; n > 0 && len(p.out) < p.most; n-- {
-		within := t.guaranteed(total, u.Need)
-		if !(within || u.Urgent) || !t.underLimit(total, u.Need) {
+	for n := u.Count; n > 0 && len(p.results) < p.maxMachines; n-- {
+		withinGuarantee := t.withinGuarantee(total, u.Need)
+		if !(withinGuarantee || u.Urgent) || !t.underLimit(total, u.Need) {
 			break
 		}
 		total = total.Add(u.Need, 1)
@@ -113,178 +118,181 @@
 			p.pending[u.Job]--
 			continue
 		}
-		x, ok := choosePreemption(u, p.lending, p.candidates, p.allowed(t.Name, within))
+		chosen, ok := choosePreemption(u, p.candidateMachines, p.candidates, p.victimFilter(t.Name, withinGuarantee))
 		if !ok {
 			break
 		}
-		p.take(x)
+		p.add(chosen)
 	}
 	return total
 }
 
-// preemptForGang makes room for a whole gang, and returns what the team then runs.
+// preemptForGang preempts for a whole gang. It returns the team's total, which includes the
+// gang if the gang may preempt.
 func (p *preemptor) preemptForGang(t *Team, u *Unit, total Resources) Resources {
-	within := t.guaranteed(total, u.total())
-	if !(within || u.Urgent) || u.Count <= 0 || !t.underLimit(total, u.total()) {
+	withinGuarantee := t.withinGuarantee(total, u.startNeed())
+	if !(withinGuarantee || u.Urgent) || u.Count <= 0 || !t.underLimit(total, u.startNeed()) {
 		return total
 	}
-	total = total.Add(u.total(), 1)
-	lenders := len(p.lenders)
-	if p.lenders[t.Name] {
-		lenders--
+	total = total.Add(u.startNeed(), 1)
+	otherTeams := len(p.candidateTeams)
+	if p.candidateTeams[t.Name] {
+		otherTeams--
 	}
-	if p.pending[u.Job] > 0 || lenders == 0 {
+	if p.pending[u.Job] > 0 || otherTeams == 0 {
 		return total
 	}
-	list := chooseGangPreemption(u, p.machines, p.candidates, p.allowed(t.Name, within))
-	if len(p.out) > 0 && len(p.out)+len(list) > p.most {
-		return total // one gang at least, however many machines it needs
+	preemptions := chooseGangPreemption(u, p.machines, p.candidates, p.victimFilter(t.Name, withinGuarantee))
+	if len(p.results) > 0 && len(p.results)+len(preemptions) > p.maxMachines {
+		return total // the first gang is served however many machines it needs
 	}
-	for _, x := range list {
-		x.Machine.Reserve(u.Job) // nobody else's preemption counts on its room
-		p.take(x)
+	for _, chosen := range preemptions {
+		chosen.Machine.Reserve(u.Job) // other units' preemptions must not use its resources
+		p.add(chosen)
 	}
 	return total
 }
 
-// choosePreemption chooses the machine on which the fewest loans have to end for a unit. may
-// tells whether a loan may be taken after others of its team.
-func choosePreemption(u *Unit, machines []*Machine, loans map[*Machine][]Preemptible, may mayPreempt) (Preemption, bool) {
-	best, least := Preemption{}, math.Inf(1)
-	for _, m := range machines {
-		if len(loans[m]) == 0 || !u.Need.Fits(m.Size) || !u.allows(m) {
+// choosePreemption chooses the machine on which a task of the unit fits after preempting the
+// fewest CPUs. It reports whether there is such a machine.
+func choosePreemption(u *Unit, machines []*Machine, candidates map[*Machine][]Preemptible, may mayPreempt) (Preemption, bool) {
+	best, leastCost := Preemption{}, math.Inf(1)
+	for _, machine := range machines {
+		if len(candidates[machine]) == 0 || !u.Need.Fits(machine.Capacity) || !u.allows(machine) {
 			continue
 		}
-		free, cost := m.Free, 0.0
-		var take []Preemptible
+		free, cost := machine.Free, 0.0
+		var victims []Preemptible
 		taken := map[string]Resources{}
-		for _, l := range loans[m] {
+		for _, task := range candidates[machine] {
 			if u.Need.Fits(free) {
 				break
 			}
-			if may(l, taken[l.Team]) {
-				taken[l.Team] = taken[l.Team].Add(l.Need, 1)
-				free, cost = free.Add(l.Need, 1), cost+l.Need.CPUs
-				take = append(take, l)
+			if may(task, taken[task.Team]) {
+				taken[task.Team] = taken[task.Team].Add(task.Need, 1)
+				free, cost = free.Add(task.Need, 1), cost+task.Need.CPUs
+				victims = append(victims, task)
 			}
 		}
-		if len(take) > 0 && u.Need.Fits(free) && cost < least-epsilon {
-			best, least = Preemption{u, m, take}, cost
+		if len(victims) > 0 && u.Need.Fits(free) && cost < leastCost-epsilon {
+			best, leastCost = Preemption{u, machine, victims}, cost
 		}
 	}
 	return best, best.Machine != nil
 }
 
-// gangCandidate is what one machine offers a gang: the loans taken so far, and the tasks that
-// fit once these have ended.
-type gangCandidate struct {
-	machine   *Machine
-	free      Resources
-	remaining []Preemptible // not taken yet
-	victims   []Preemptible
-	fits      int
+// gangMachine is a machine that may run tasks of a gang, with the victims chosen on it so far.
+type gangMachine struct {
+	machine      *Machine
+	free         Resources     // free once the victims have ended
+	remaining    []Preemptible // candidates that are not victims
+	victims      []Preemptible
+	taskCapacity int // number of the gang's tasks that fit in free
 }
 
-// next finds the least that has to be taken in addition for one task more to fit. taken is
-// what is taken already, by team.
-func (r *gangCandidate) next(need Resources, taken map[string]Resources, may mayPreempt) (loans []Preemptible, cost float64, ok bool) {
-	free, here := r.free, map[string]Resources{}
-	for _, l := range r.remaining {
-		if !may(l, taken[l.Team].Add(here[l.Team], 1)) {
+// nextVictims returns the tasks to preempt so that at least one more task of the gang fits, and
+// their cost in CPUs. taken is what is preempted already, by team.
+func (g *gangMachine) nextVictims(need Resources, taken map[string]Resources, may mayPreempt) (victims []Preemptible, cost float64, ok bool) {
+	free, takenHere := g.free, map[string]Resources{}
+	for _, task := range g.remaining {
+		if !may(task, taken[task.Team].Add(takenHere[task.Team], 1)) {
 			continue
 		}
-		here[l.Team] = here[l.Team].Add(l.Need, 1)
-		loans = append(loans, l)
-		cost += l.Need.CPUs
-		if free = free.Add(l.Need, 1); need.CountIn(free) > r.fits {
-			return loans, cost, true
+		takenHere[task.Team] = takenHere[task.Team].Add(task.Need, 1)
+		victims = append(victims, task)
+		cost += task.Need.CPUs
+		if free = free.Add(task.Need, 1); need.CountIn(free) > g.taskCapacity {
+			return victims, cost, true
 		}
 	}
 	return nil, 0, false
 }
 
-// preempt ends tasks in favour of the gang.
-func (r *gangCandidate) preempt(need Resources, loans []Preemptible) {
-	for _, l := range loans {
-		r.free = r.free.Add(l.Need, 1)
-		r.victims = append(r.victims, l)
-		r.remaining = slices.DeleteFunc(slices.Clone(r.remaining), func(x Preemptible) bool { return x.ID == l.ID })
+// addVictims adds tasks to the machine's victims.
+func (g *gangMachine) addVictims(need Resources, tasks []Preemptible) {
+	for _, task := range tasks {
+		g.free = g.free.Add(task.Need, 1)
+		g.victims = append(g.victims, task)
+		g.remaining = slices.DeleteFunc(slices.Clone(g.remaining), func(other Preemptible) bool { return other.ID == task.ID })
 	}
-	r.fits = need.CountIn(r.free)
+	g.taskCapacity = need.CountIn(g.free)
 }
 
-// chooseGangPreemption chooses the machines on which the least has to end for a whole gang, in one
-// zone if it must be in one. may tells whether a loan may be taken after others of its team.
-func chooseGangPreemption(u *Unit, machines []*Machine, loans map[*Machine][]Preemptible, may mayPreempt) []Preemption {
+// chooseGangPreemption chooses the machines on which a whole gang fits after preempting the
+// fewest CPUs. All are in one zone if the gang must be in one. It returns nil if there are no
+// such machines, or if the gang needs no preemption.
+func chooseGangPreemption(u *Unit, machines []*Machine, candidates map[*Machine][]Preemptible, may mayPreempt) []Preemption {
 	var best []Preemption
-	least := math.Inf(1)
+	leastCost := math.Inf(1)
 	u.tryZones(machines, func() bool {
-		if claims, cost := gangPreemptionInZone(u, machines, loans, may); claims != nil && cost < least-epsilon {
-			best, least = claims, cost
+		if preemptions, cost := chooseGangPreemptionInZone(u, machines, candidates, may); preemptions != nil && cost < leastCost-epsilon {
+			best, leastCost = preemptions, cost
 		}
 		return false
 	})
 	return best
 }
 
-// gangPreemptionInZone is chooseGangPreemption for the zones that the unit allows at the moment.
-func gangPreemptionInZone(u *Unit, machines []*Machine, candidates map[*Machine][]Preemptible, may mayPreempt) ([]Preemption, float64) {
-	var rooms []*gangCandidate
-	fits := 0
+// chooseGangPreemptionInZone is chooseGangPreemption for the unit's current Zone. It also
+// returns the cost in CPUs.
+func chooseGangPreemptionInZone(u *Unit, machines []*Machine, candidates map[*Machine][]Preemptible, may mayPreempt) ([]Preemption, float64) {
+	var usable []*gangMachine
+	taskCapacity := 0
 	for _, m := range machines {
-		if u.Need.Fits(m.Size) && u.allows(m) {
-			r := &gangCandidate{machine: m, free: m.Free, remaining: candidates[m], fits: u.Need.CountIn(m.Free)}
-			fits += r.fits
-			rooms = append(rooms, r)
+		if u.Need.Fits(m.Capacity) && u.allows(m) {
+			option := &gangMachine{machine: m, free: m.Free, remaining: candidates[m], taskCapacity: u.Need.CountIn(m.Free)}
+			taskCapacity += option.taskCapacity
+			usable = append(usable, option)
 		}
 	}
-	if u.Spread || fits >= u.Count {
-		return nil, 0 // by zones, or placed by the next run
+	if u.Spread || taskCapacity >= u.Count {
+		return nil, 0 // no preemption for gangs spread over zones; a gang that fits is placed by the next run
 	}
-	taken, total := map[string]Resources{}, 0.0
-	for fits < u.Count {
-		r, victims, cost := cheapestCandidate(rooms, u.Need, taken, may)
-		if r == nil {
+	taken, totalCost := map[string]Resources{}, 0.0
+	for taskCapacity < u.Count {
+		cheapest, victims, cost := cheapestGangMachine(usable, u.Need, taken, may)
+		if cheapest == nil {
 			return nil, 0
 		}
-		fits -= r.fits
-		r.preempt(u.Need, victims)
-		fits += r.fits
-		total += cost
+		taskCapacity -= cheapest.taskCapacity
+		cheapest.addVictims(u.Need, victims)
+		taskCapacity += cheapest.taskCapacity
+		totalCost += cost
 		for _, victim := range victims {
 			taken[victim.Team] = taken[victim.Team].Add(victim.Need, 1)
 		}
 	}
-	return fewestMachines(u, rooms), total
+	return fewestMachines(u, usable), totalCost
 }
 
-// cheapestCandidate finds the machine on which least has to end for one task more to fit.
-func cheapestCandidate(rooms []*gangCandidate, need Resources, taken map[string]Resources, may mayPreempt) (best *gangCandidate, victims []Preemptible, cost float64) {
+// cheapestGangMachine returns the machine on which one more task of the gang fits after
+// preempting the fewest CPUs, with the victims and their cost in CPUs.
+func cheapestGangMachine(machines []*gangMachine, need Resources, taken map[string]Resources, may mayPreempt) (best *gangMachine, victims []Preemptible, cost float64) {
 	cost = math.Inf(1)
-	for _, r := range rooms {
-		list, c, ok := r.next(need, taken, may)
-		if ok && c < cost-epsilon {
-			best, victims, cost = r, list, c
+	for _, option := range machines {
+		optionVictims, optionCost, ok := option.nextVictims(need, taken, may)
+		if ok && optionCost < cost-epsilon {
+			best, victims, cost = option, optionVictims, optionCost
 		}
 	}
 	return best, victims, cost
 }
 
-// fewestMachines keeps the machines whose tasks end, and then those with most room, until the
-// whole gang fits.
-func fewestMachines(u *Unit, rooms []*gangCandidate) []Preemption {
-	sort.SliceStable(rooms, func(a, b int) bool {
-		x, y := rooms[a], rooms[b]
-		if (len(x.victims) > 0) != (len(y.victims) > 0) {
-			return len(x.victims) > 0
+// fewestMachines returns preemptions on as few machines as the whole gang needs. Machines with
+// victims come first, then those that fit the most tasks.
+func fewestMachines(u *Unit, machines []*gangMachine) []Preemption {
+	sort.SliceStable(machines, func(a, b int) bool {
+		left, right := machines[a], machines[b]
+		if (len(left.victims) > 0) != (len(right.victims) > 0) {
+			return len(left.victims) > 0
 		}
-		return x.fits > y.fits
+		return left.taskCapacity > right.taskCapacity
 	})
-	var list []Preemption
-	for n := 0; n < u.Count; {
-		r := rooms[len(list)]
-		list = append(list, Preemption{u, r.machine, r.victims})
-		n += r.fits
+	var preemptions []Preemption
+	for tasks := 0; tasks < u.Count; {
+		next := machines[len(preemptions)]
+		preemptions = append(preemptions, Preemption{u, next.machine, next.victims})
+		tasks += next.taskCapacity
 	}
-	return list
+	return preemptions
 }
--- a/internal/allocation/resources.go
+++ b/internal/allocation/resources.go
@@ -5,9 +5,10 @@
 // Resources is an amount of each resource of a machine.
 type Resources struct{ CPUs, GPUs, Memory float64 }
 
+// epsilon is the tolerance for rounding errors in sums of resources.
 const epsilon = 1e-6
 
-// Fits tells whether a is available in b.
+// Fits reports whether a is available in b.
 func (a Resources) Fits(b Resources) bool {
 	return a.CPUs <= b.CPUs+epsilon && a.GPUs <= b.GPUs+epsilon && a.Memory <= b.Memory+epsilon
 }
@@ -17,27 +18,27 @@
 	return Resources{a.CPUs + n*b.CPUs, a.GPUs + n*b.GPUs, a.Memory + n*b.Memory}
 }
 
-// fractionIn tells which part of a is available in b, at the resource that lacks most.
+// fractionIn returns the fraction of a that is available in b, for the scarcest resource.
 func (a Resources) fractionIn(b Resources) float64 {
-	p := math.Inf(1)
-	for _, x := range [][2]float64{{a.CPUs, b.CPUs}, {a.GPUs, b.GPUs}, {a.Memory, b.Memory}} {
-		if x[0] > 0 {
-			p = math.Min(p, x[1]/x[0])
+	fraction := math.Inf(1)
+	for _, amounts := range [][2]float64{{a.CPUs, b.CPUs}, {a.GPUs, b.GPUs}, {a.Memory, b.Memory}} {
+		if amounts[0] > 0 {
+			fraction = math.Min(fraction, amounts[1]/amounts[0])
 		}
 	}
-	return p
+	return fraction
 }
 
-// CountIn tells how often a is available in b.
+// CountIn returns how many times a is available in b, at most 1<<20.
 func (a Resources) CountIn(b Resources) int {
-	n := math.Inf(1)
-	part := func(x, y float64) {
-		if x > 0 {
-			n = math.Min(n, math.Floor((y+epsilon)/x))
+	count := math.Inf(1)
+	limitBy := func(needed, available float64) {
+		if needed > 0 {
+			count = math.Min(count, math.Floor((available+epsilon)/needed))
 		}
 	}
-	part(a.CPUs, b.CPUs)
-	part(a.GPUs, b.GPUs)
-	part(a.Memory, b.Memory)
-	return int(math.Min(n, 1<<20))
+	limitBy(a.CPUs, b.CPUs)
+	limitBy(a.GPUs, b.GPUs)
+	limitBy(a.Memory, b.Memory)
+	return int(math.Min(count, 1<<20))
 }
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -20,7 +20,7 @@
 // Core is the controller's state machine. It reads no clock, does no I/O and takes no locks.
 type Core struct {
 	settings *config.Settings
-	operator *config.Operator
+	operator *config.OperatorSettings
 	now      Now
 	outputs  []Output // outputs of the current step
 	teams    map[string]*config.Team
@@ -113,7 +113,7 @@
 
 // NewCore returns the state machine of one controller. incarnation is a random number that
 // identifies this run of the process.
-func NewCore(settings *config.Settings, operator *config.Operator, now Now, incarnation uint64) *Core {
+func NewCore(settings *config.Settings, operator *config.OperatorSettings, now Now, incarnation uint64) *Core {
 	c := &Core{
 		settings:             settings,
 		operator:             operator,
@@ -143,7 +143,7 @@
 	}
 	cluster := &settings.Cluster
 	// These sizes are valid before and after an announced change of the state service's limits.
-	changes, valueKB := cluster.StateSizes()
+	changes, valueKB := cluster.StateSizeLimits()
 	c.store = statestore.New(cluster.State.RPS, cluster.State.WriteRPS, changes, valueKB)
 	if next := cluster.State.Next; next != nil {
 		c.store.AnnounceWriteRate(next.WriteRPS)
@@ -159,9 +159,9 @@
 	c.pool = workers.New(cluster.Workers.LeaseS, cluster.Workers.ReportS)
 	c.fleet = fleet.New(cluster.Cloud.RPS, cluster.Cloud.ListLagS, rentalPrefix(settings.Label, incarnation), c.log)
 	c.links = newLinkMonitor(settings.Label, incarnation, operator.Reachability, now.Steady)
-	c.fleet.OnGone = c.handleMachineDeleted
-	c.fleet.ReportWithin = c.pool.SilentFor()
-	c.fleet.TakeoverRound = c.pool.Report*5/4 + limits.TakeoverSlack
+	c.fleet.OnDeleted = c.handleMachineDeleted
+	c.fleet.ReportTimeout = c.pool.MaxSilence()
+	c.fleet.TakeoverTimeout = c.pool.ReportInterval*5/4 + limits.TakeoverSlack
 	return c
 }
 
@@ -182,7 +182,7 @@
 	c.jobs.SetCancellationsKnownThrough(c.ownership.CancellationsKnownThrough())
 	c.ownership.Advance(t)
 	c.store.Advance(t)
-	c.links.noteInput(in, t)
+	c.links.recordInput(in, t)
 	switch x := in.(type) {
 	case Submit:
 		c.submit(x)
@@ -223,23 +223,23 @@
 // over its classes.
 func (c *Core) resumeAfterPause(now time.Duration) {
 	c.log(slog.LevelInfo, "stood still", "for", now-c.now.Steady)
-	c.links.stoodStill(now - c.now.Steady)
+	c.links.recordPause(now - c.now.Steady)
 	c.lastArrival, c.lastReport = now, now
 	c.reportsResumedAt, c.lastMachineJoined = now, now
-	c.nextMachineCheck, c.nextFleetPlan = now+limits.MachineCheckInterval, now+limits.PlanInterval
+	c.nextMachineCheck, c.nextFleetPlan = now+limits.MachineCheckInterval, now+limits.FleetPlanInterval
 }
 
 // takeOutputs returns the outputs collected since its last call.
 func (c *Core) takeOutputs() []Output {
 	out := c.outputs
 	c.outputs = nil
-	c.links.noteSent(out, c.now.Steady)
+	c.links.recordOutputs(out, c.now.Steady)
 	return out
 }
 
 // answerLinksQuery answers an operator's query for the state of the links.
 func (c *Core) answerLinksQuery(query LinksQuery) {
-	if reply, enabled := c.links.reply(c.now.Steady); enabled {
+	if reply, enabled := c.links.linksReply(c.now.Steady); enabled {
 		c.outputs = append(c.outputs, Answer{Ref: query.Ref, Status: 200, Body: reply})
 		return
 	}
@@ -270,7 +270,7 @@
 		c.writeMachineRecords()
 		c.allocate()
 		if now >= c.nextFleetPlan {
-			c.nextFleetPlan = now + limits.PlanInterval
+			c.nextFleetPlan = now + limits.FleetPlanInterval
 			c.planFleet()
 		}
 	}
--- a/internal/controller/direct.go
+++ b/internal/controller/direct.go
@@ -51,7 +51,7 @@
 func (c *Core) sendDirectLaunches() {
 	sent := 0
 	for _, machineID := range c.plannedMachines {
-		if len(c.directCalls)-c.probesInFlight-c.fencesInFlight >= limits.DirectInFlight {
+		if len(c.directCalls)-c.probesInFlight-c.fencesInFlight >= limits.MaxDirectInFlight {
 			break
 		}
 		sent++
@@ -68,7 +68,7 @@
 		return false
 	}
 	silence := c.now.Steady - machine.LastReport
-	return silence <= c.pool.Report+limits.DirectSlack && machine.Usable(c.now.Steady, c.pool.Report) && c.machineRecords[machine.ID].Up
+	return silence <= c.pool.ReportInterval+limits.DirectSlack && machine.Usable(c.now.Steady, c.pool.ReportInterval) && c.machineRecords[machine.ID].Up
 }
 
 // sendLaunches sends a machine an order with its planned launches.
@@ -160,7 +160,7 @@
 		return
 	}
 	report := &wire.Report{}
-	if wire.Decode(reply.Body, report) != nil || report.Machine != machine.ID || !c.pool.ReceiveDirect(c.now.Steady, machine, report) {
+	if wire.Decode(reply.Body, report) != nil || report.Machine != machine.ID || !c.pool.ReceiveOrderReply(c.now.Steady, machine, report) {
 		return
 	}
 	c.schedulingDue = true
@@ -193,10 +193,10 @@
 		return
 	}
 	for _, machine := range c.pool.Sorted() {
-		if c.probesInFlight >= limits.ProbesInFlight {
+		if c.probesInFlight >= limits.MaxProbesInFlight {
 			return
 		}
-		if machine.DirectInFlight || machine.Deleting || machine.Lost || machine.Address == "" || now < machine.NextProbe || now-machine.LastReport <= c.pool.Report*5/4+limits.ProbeAfter {
+		if machine.DirectInFlight || machine.Deleting || machine.LeaseExpired || machine.Address == "" || now < machine.NextProbe || now-machine.LastReport <= c.pool.ReportInterval*5/4+limits.ProbeSlack {
 			continue
 		}
 		machine.NextProbe = now + limits.ProbeInterval
@@ -240,7 +240,7 @@
 // acceptProbeReport processes the report in a worker's answer to a probe or a fence.
 func (c *Core) acceptProbeReport(machine *workers.Machine, call *directCall, report *wire.Report) {
 	wasResolved, alreadyReported := machine.Resolved(), machine.Term == call.term
-	if !c.pool.ReceiveProbe(c.now.Steady, machine, report, call.term, call.session) {
+	if !c.pool.ReceiveProbeReply(c.now.Steady, machine, report, call.term, call.session) {
 		return
 	}
 	// Without this, a new owner would return a machine that answered its probe, together with the
@@ -293,5 +293,5 @@
 	if report.Cause == wire.CauseDone && (job == nil || !job.Cancelled) {
 		return true
 	}
-	return c.now.Steady-order.SentAt > time.Duration(limits.ClearLeases*float64(c.pool.Lease))
+	return c.now.Steady-order.SentAt > time.Duration(limits.ClearLeases*float64(c.pool.LeaseDuration))
 }
--- a/internal/controller/fences.go
+++ b/internal/controller/fences.go
@@ -40,7 +40,7 @@
 
 // sendQueuedFences sends queued first fences up to the limit on fences in flight.
 func (c *Core) sendQueuedFences() {
-	for len(c.fenceQueue) > 0 && c.fencesInFlight < limits.FencesInFlight {
+	for len(c.fenceQueue) > 0 && c.fencesInFlight < limits.MaxFencesInFlight {
 		machineID := c.fenceQueue[0]
 		c.fenceQueue = c.fenceQueue[1:]
 		if held := c.heldReports[machineID]; held != nil && held.fencesSent == 0 {
@@ -57,7 +57,7 @@
 		return
 	}
 	call := &directCall{machine: machine.ID, session: held.checkin.Report.Session, term: machine.Term, fence: true, repeat: held.fencesSent > 0}
-	held.nextFence = c.now.Steady + limits.FenceRepeatAfter<<held.fencesSent
+	held.nextFence = c.now.Steady + limits.FenceRepeatDelay<<held.fencesSent
 	held.fencesSent++
 	c.renewals.FenceOrders++
 	c.fencesInFlight++
@@ -118,7 +118,7 @@
 		switch {
 		case c.now.Steady >= held.deadline:
 			c.refuseHeldReport(machineID)
-		case held.fencesSent > 0 && c.now.Steady >= held.nextFence && c.fenceRepeats < limits.FenceRepeats && c.fencesInFlight < limits.FencesInFlight:
+		case held.fencesSent > 0 && c.now.Steady >= held.nextFence && c.fenceRepeats < limits.MaxFenceRepeats && c.fencesInFlight < limits.MaxFencesInFlight:
 			c.sendFence(machineID, held)
 		}
 	}
--- a/internal/controller/gang_reserve.go
+++ b/internal/controller/gang_reserve.go
@@ -57,14 +57,14 @@
 	totalCPUs, reservedCPUs := 0.0, 0.0
 	present := map[string]bool{}
 	for _, machine := range machines {
-		totalCPUs += machine.Size.CPUs
+		totalCPUs += machine.Capacity.CPUs
 		present[machine.ID] = true
 		if c.gangOnlyMachines[machine.ID] {
-			reservedCPUs += machine.Size.CPUs
+			reservedCPUs += machine.Capacity.CPUs
 		}
 	}
 	maps.DeleteFunc(c.gangOnlyMachines, func(id string, _ bool) bool { return !present[id] })
-	maxCPUs := limits.GangReserveMost * totalCPUs
+	maxCPUs := limits.MaxGangReserveShare * totalCPUs
 	wantedCPUs := min(limits.GangReserveFactor*c.gangDemand, maxCPUs)
 	if reservedCPUs >= wantedCPUs {
 		c.shrinkGangReserve(machines, reservedCPUs, wantedCPUs)
@@ -76,10 +76,10 @@
 // shrinkGangReserve releases idle reserved machines that are not needed.
 func (c *Core) shrinkGangReserve(machines []*allocation.Machine, reservedCPUs, wantedCPUs float64) {
 	for _, machine := range machines {
-		if c.gangOnlyMachines[machine.ID] && !machine.Busy && reservedCPUs-machine.Size.CPUs >= wantedCPUs {
+		if c.gangOnlyMachines[machine.ID] && !machine.Busy && reservedCPUs-machine.Capacity.CPUs >= wantedCPUs {
 			delete(c.gangOnlyMachines, machine.ID)
 			machine.GangsOnly = false
-			reservedCPUs -= machine.Size.CPUs
+			reservedCPUs -= machine.Capacity.CPUs
 		}
 	}
 }
@@ -88,7 +88,7 @@
 // then machines with the largest free share of CPUs.
 func (c *Core) growGangReserve(machines []*allocation.Machine, demand gangStartDemand, reservedCPUs, wantedCPUs, maxCPUs float64) {
 	score := func(machine *allocation.Machine) float64 {
-		score := machine.Free.CPUs / machine.Size.CPUs
+		score := machine.Free.CPUs / machine.Capacity.CPUs
 		for image := range demand.images {
 			if machine.Images[image] {
 				score++
@@ -104,10 +104,10 @@
 	}
 	slices.SortStableFunc(candidates, func(a, b *allocation.Machine) int { return cmp.Compare(score(b), score(a)) })
 	for _, machine := range candidates {
-		if reservedCPUs+machine.Size.CPUs > maxCPUs || reservedCPUs >= wantedCPUs {
+		if reservedCPUs+machine.Capacity.CPUs > maxCPUs || reservedCPUs >= wantedCPUs {
 			return
 		}
 		c.gangOnlyMachines[machine.ID], machine.GangsOnly = true, true
-		reservedCPUs += machine.Size.CPUs
+		reservedCPUs += machine.Capacity.CPUs
 	}
 }
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -36,21 +36,21 @@
 	if job.GangRun.Ending || job.GangRun.StoppedAt > 0 || (job.GangRun.Started && unit.Count > 0) {
 		return false
 	}
-	unit.Avoid = map[string]bool{}
+	unit.ExcludedMachines = map[string]bool{}
 	if !job.Faulty() { // a job that fails on every machine would have none left to retry on
 		for machineID := range job.FailedOn {
-			unit.Avoid[machineID] = true
+			unit.ExcludedMachines[machineID] = true
 		}
 	}
 	for machineID := range job.GangRun.LeftMachines { // a machine never gets two tasks of the same attempt in turn
-		unit.Avoid[machineID] = true
+		unit.ExcludedMachines[machineID] = true
 	}
 	for _, machineID := range endedTaskMachines[job.ID] {
-		unit.Avoid[machineID] = true
+		unit.ExcludedMachines[machineID] = true
 	}
 	// Without the check for faulty jobs, a gang that fails on every machine would have room
 	// reserved for each retry.
-	unit.Overdue = !job.Faulty() && c.age(job.SubmitUnix) > limits.GangHold
+	unit.Overdue = !job.Faulty() && c.age(job.SubmitUnix) > limits.GangHoldAge
 	return unit.Count > 0
 }
 
@@ -222,8 +222,8 @@
 // commands would be sent without a term.
 func (c *Core) mayStopDirectly(machine *workers.Machine) bool {
 	_, owned := c.activeTerms[machine.Class]
-	reachable := machine.Adopted && !machine.Lost && !machine.Deleting && machine.Address != ""
-	return owned && reachable && !machine.DirectInFlight && c.probesInFlight < limits.ProbesInFlight
+	reachable := machine.Adopted && !machine.LeaseExpired && !machine.Deleting && machine.Address != ""
+	return owned && reachable && !machine.DirectInFlight && c.probesInFlight < limits.MaxProbesInFlight
 }
 
 // updateGangs adopts attempts that earlier owners started, ends attempts that take too long to
@@ -242,7 +242,7 @@
 		if job.GangRun.Attempt == 0 && len(job.Assigned) > 0 {
 			c.adoptGang(job)
 		}
-		if job.GangRun.StoppedAt > 0 && steadyNow > job.GangRun.StoppedAt+limits.Seconds(c.settings.Cluster.Workers.GangPeerS+job.SaveS)+c.pool.Report*5/4+limits.GangStopSlack {
+		if job.GangRun.StoppedAt > 0 && steadyNow > job.GangRun.StoppedAt+limits.Seconds(c.settings.Cluster.Workers.GangPeerS+job.SaveS)+c.pool.ReportInterval*5/4+limits.GangStopSlack {
 			c.endGang(job, gangStopTimeout)
 		}
 		if job.GangRun.Attempt != 0 && len(job.Assigned) == 0 {
@@ -303,15 +303,15 @@
 		}
 	}
 	wait := limits.Seconds(c.settings.Cluster.Workers.GangWaitS)
-	return c.age(job.SubmitUnix)+limits.Seconds(fetchS)+limits.GangCompletion < wait
+	return c.age(job.SubmitUnix)+limits.Seconds(fetchS)+limits.GangCompletionTime < wait
 }
 
 // mustStopGang reports whether a machine's recall is so near that a gang with a task on the
 // machine must save and stop.
 func (c *Core) mustStopGang(machine *workers.Machine, job *jobs.Job) bool {
-	if machine.Recall == 0 {
+	if machine.RecallAt == 0 {
 		return false
 	}
-	untilRecall := machine.Recall - c.now.Steady
-	return untilRecall <= limits.Seconds(job.SaveS+c.settings.Cluster.Workers.GangPeerS)+limits.DrainSpare+c.pool.Report*5/4
+	untilRecall := machine.RecallAt - c.now.Steady
+	return untilRecall <= limits.Seconds(job.SaveS+c.settings.Cluster.Workers.GangPeerS)+limits.DrainMargin+c.pool.ReportInterval*5/4
 }
--- a/internal/controller/http_api.go
+++ b/internal/controller/http_api.go
@@ -20,43 +20,44 @@
 	mux.HandleFunc("POST /work", func(w http.ResponseWriter, r *http.Request) {
 		body, ok := readBody(w, r)
 		if ok {
-			s.user(w, func(ref uint64) Input { return Submit{ref, body} })
+			s.handleUserRequest(w, func(ref uint64) Input { return Submit{ref, body} })
 		}
 	})
 	mux.HandleFunc("GET /work/{id}", func(w http.ResponseWriter, r *http.Request) {
 		id := r.PathValue("id")
 		s.limitKeepAlive(w)
-		a, ok := s.enqueue(r.Context(), s.questions, func(ref uint64) Input { return Query{ref, id} }, limits.QuestionRoom, limits.QuestionEdge)
-		s.answerUser(w, a, ok)
+		answer, ok := s.enqueueAndWait(r.Context(), s.queries, func(ref uint64) Input { return Query{ref, id} }, limits.QueryEnqueueTimeout, limits.QueryAnswerTimeout)
+		s.answerUser(w, answer, ok)
 	})
 	mux.HandleFunc("POST /work/{id}/cancel", func(w http.ResponseWriter, r *http.Request) {
 		id := r.PathValue("id")
-		s.user(w, func(ref uint64) Input { return Cancel{ref, id} })
+		s.handleUserRequest(w, func(ref uint64) Input { return Cancel{ref, id} })
 	})
 	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, _ *http.Request) {
-		a, ok := s.ask(func(ref uint64) Input { return Ready{ref} }, limits.EdgeTimeout)
+		answer, ok := s.callCore(func(ref uint64) Input { return Ready{ref} }, limits.EventLoopTimeout)
 		if !ok {
-			a = Answer{Status: 503}
+			answer = Answer{Status: 503}
 		}
-		reply(w, a)
+		writeAnswer(w, answer)
 	})
 	return mux
 }
 
-// readBody reads a request's body, at most limits.MaxBodyBytes of it. A short body
-// is read into one buffer of the length that the request declares: reports come
-// hundreds a second, and a buffer grown as it is read costs several allocations for
-// each. A long one gets its buffer as it arrives: guards against memory taken by
-// requests that declare a length and send nothing.
+// readBody reads a request's body, which may have at most limits.MaxBodyBytes. A body with a declared
+// length of up to limits.MaxPreallocatedBodyBytes is read into one buffer of that length: hundreds of reports
+// arrive in a second, and a buffer that grows costs several allocations for each report. For a longer
+// body the buffer grows as data arrives, because otherwise requests that declare a large length and send
+// nothing would take up memory. If the body cannot be read, readBody writes the error response and
+// returns false.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
-	body := http.MaxBytesReader(w, r.Body, limits.MaxBodyBytes)
-	var b []byte
+	bounded := http.MaxBytesReader(w, r.Body, limits.MaxBodyBytes)
+	var body []byte
 	var err error
-	if r.ContentLength >= 0 && r.ContentLength <= limits.DeclaredBodyBytes {
-		b = make([]byte, r.ContentLength)
-		_, err = io.ReadFull(body, b)
+	if r.ContentLength >= 0 && r.ContentLength <= limits.MaxPreallocatedBodyBytes {
+		body = make([]byte, r.ContentLength)
+		_, err = io.ReadFull(bounded, body)
 	} else {
-		b, err = io.ReadAll(body)
+		body, err = io.ReadAll(bounded)
 	}
 	if err != nil {
 		status := 400
@@ -64,108 +65,113 @@
 		if !errors.As(err, &tooLarge) {
 			status = 503
 		}
-		reply(w, Answer{Status: status, Body: wire.ErrorBody{Error: "body not read"}})
+		writeAnswer(w, Answer{Status: status, Body: wire.ErrorBody{Error: "body not read"}})
 		return nil, false
 	}
-	return b, true
+	return body, true
 }
 
-func (s *Server) user(w http.ResponseWriter, newInput func(uint64) Input) {
+// handleUserRequest passes a user's request to the core and writes the core's answer.
+func (s *Server) handleUserRequest(w http.ResponseWriter, newInput func(uint64) Input) {
 	s.limitKeepAlive(w)
-	a, ok := s.ask(newInput, limits.EdgeTimeout)
-	s.answerUser(w, a, ok)
+	answer, ok := s.callCore(newInput, limits.EventLoopTimeout)
+	s.answerUser(w, answer, ok)
 }
 
-// limitKeepAlive lets a user's connection end when there are many.
+// limitKeepAlive has a user's connection closed after the response if too many connections are open.
 func (s *Server) limitKeepAlive(w http.ResponseWriter) {
-	if s.conns.Load() > s.keepAliveLimit {
+	if s.inboundConns.Load() > s.keepAliveLimit {
 		w.Header().Set("Connection", "close")
 	}
 }
 
-// answerUser passes an answer on; without one the user is told when to come back.
-func (s *Server) answerUser(w http.ResponseWriter, a Answer, ok bool) {
+// answerUser writes an answer to a user. If the core gave none in time (ok is false), the response is 503
+// with Retry-After.
+func (s *Server) answerUser(w http.ResponseWriter, answer Answer, ok bool) {
 	if !ok {
-		a = Answer{Status: 503, Body: wire.ErrorBody{Error: "overloaded"}, RetryAfter: limits.RetryAfterS}
+		answer = Answer{Status: 503, Body: wire.ErrorBody{Error: "overloaded"}, RetryAfter: limits.RetryAfterS}
 	}
-	reply(w, a)
+	writeAnswer(w, answer)
 }
 
+// checkin handles a worker's report.
 func (s *Server) checkin(w http.ResponseWriter, r *http.Request) {
 	body, ok := readBody(w, r)
 	if !ok {
 		return
 	}
-	rep := &wire.Report{}
-	err := wire.Decode(body, rep)
+	report := &wire.Report{}
+	err := wire.Decode(body, report)
 	if err == nil {
-		err = rep.Validate()
+		err = report.Validate()
 	}
 	if err != nil {
-		s.log.Debug("report not understood", "error", err)
-		reply(w, Answer{Status: 400})
+		s.log.Debug("invalid report of a worker", "error", err)
+		writeAnswer(w, Answer{Status: 400})
 		return
 	}
-	a, ok := s.ask(func(ref uint64) Input { return Checkin{ref, rep} }, limits.EdgeTimeout)
-	// What was decided before a standstill must not leave after it.
-	if !ok || (a.Until > 0 && s.now().Steady >= a.Until) {
-		a = Answer{Status: 503}
+	answer, ok := s.callCore(func(ref uint64) Input { return Checkin{ref, report} }, limits.EventLoopTimeout)
+	// An answer that is only valid until some time may have expired, if the process paused since the core
+	// returned it.
+	if !ok || (answer.Until > 0 && s.now().Steady >= answer.Until) {
+		answer = Answer{Status: 503}
 	}
-	reply(w, a)
+	writeAnswer(w, answer)
 }
 
-func reply(w http.ResponseWriter, a Answer) {
-	if a.RetryAfter > 0 {
-		w.Header().Set("Retry-After", strconv.Itoa(a.RetryAfter))
+// writeAnswer writes an answer as an HTTP response; 503 if its body cannot be encoded.
+func writeAnswer(w http.ResponseWriter, answer Answer) {
+	if answer.RetryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.Itoa(answer.RetryAfter))
 	}
-	var b []byte
-	if a.Body != nil {
+	var body []byte
+	if answer.Body != nil {
 		var err error
-		if b, err = wire.Encode(a.Body); err != nil {
-			a.Status, b = 503, nil
+		if body, err = wire.Encode(answer.Body); err != nil {
+			answer.Status, body = 503, nil
 		}
 	}
 	w.Header().Set("Content-Type", "application/msgpack")
-	w.Header().Set("Content-Length", strconv.Itoa(len(b)))
-	w.WriteHeader(a.Status)
-	w.Write(b) //nolint: the peer may be gone, and that is its own loss
+	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
+	w.WriteHeader(answer.Status)
+	w.Write(body) //nolint: a client that has disconnected gets no response
 }
 
-// countedListener bounds the open connections.
+// countedListener counts the connections that it accepts, and closes new ones at once when there are too many.
 type countedListener struct {
 	net.Listener
-	s *Server
+	server *Server
 }
 
 func (l *countedListener) Accept() (net.Conn, error) {
 	for {
-		c, err := l.Listener.Accept()
+		conn, err := l.Listener.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return nil, err
 			}
-			time.Sleep(limits.TickInterval) // no socket free: others will close
+			time.Sleep(limits.TickInterval) // no socket is free; retry once other connections have closed
 			continue
 		}
-		if !l.s.hasRoomForConnection() {
-			c.Close()
+		if !l.server.hasRoomForConnection() {
+			conn.Close()
 			continue
 		}
-		return newCountedConn(c, &l.s.conns), nil
+		return newCountedConn(conn, &l.server.inboundConns), nil
 	}
 }
 
-// hasRoomForConnection tells whether one connection more may be accepted. Idle connections to
-// workers give way first.
+// hasRoomForConnection reports whether one more connection may be accepted. If there are too many, it
+// first closes the idle connections to workers.
 func (s *Server) hasRoomForConnection() bool {
-	if s.conns.Load()+s.orderConns.Load() < s.connectionLimit {
+	if s.inboundConns.Load()+s.orderConns.Load() < s.connectionLimit {
 		return true
 	}
-	s.workers.CloseIdleConnections()
-	return s.conns.Load()+s.orderConns.Load() < s.connectionLimit
+	s.workerClient.CloseIdleConnections()
+	return s.inboundConns.Load()+s.orderConns.Load() < s.connectionLimit
 }
 
-// countedConn counts as open from newCountedConn until it is closed.
+// countedConn is a connection that is included in the counter open until it is closed.
 type countedConn struct {
 	net.Conn
 	open *atomic.Int64
--- a/internal/controller/http_client.go
+++ b/internal/controller/http_client.go
@@ -13,56 +13,59 @@
 	"umberpaddle/internal/wire"
 )
 
-func transport(conns int) *http.Transport {
-	d := &net.Dialer{Timeout: limits.PeerTimeout}
+// newTransport returns a transport that uses at most maxConns connections to a host.
+func newTransport(maxConns int) *http.Transport {
+	dialer := &net.Dialer{Timeout: limits.PeerTimeout}
 	return &http.Transport{
 		DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) {
-			return d.DialContext(ctx, "tcp4", addr)
+			return dialer.DialContext(ctx, "tcp4", addr)
 		},
-		MaxIdleConnsPerHost: conns, MaxConnsPerHost: conns, IdleConnTimeout: limits.ClientIdle, DisableCompression: true}
+		MaxIdleConnsPerHost: maxConns, MaxConnsPerHost: maxConns, IdleConnTimeout: limits.ClientIdleTimeout, DisableCompression: true}
 }
 
-// orderTransport carries direct orders. A connection to each of many workers is kept: setting one
-// up costs more processor time than the order itself, and a job's launches go to dozens of workers
-// at once. Keep-alive probes would cost four system calls for each connection and say no more than
-// IdleConnTimeout.
-func (s *Server) orderTransport() *http.Transport {
-	work := transport(1)
-	work.MaxIdleConns = int(limits.OrderConnections * float64(s.set.Cluster.Resources.MaxSockets))
-	work.ReadBufferSize, work.WriteBufferSize = limits.OrderBuffer, limits.OrderBuffer
+// newOrderTransport returns the transport for direct orders. It keeps a connection open to each of many
+// workers: a new connection costs more processor time than the order itself, and a job's launches go to
+// dozens of workers at once. TCP keep-alive is off: setting it up costs four system calls for each
+// connection, and IdleConnTimeout closes unused connections anyway.
+func (s *Server) newOrderTransport() *http.Transport {
+	orders := newTransport(1)
+	orders.MaxIdleConns = int(limits.OrderConnectionShare * float64(s.settings.Cluster.Resources.MaxSockets))
+	orders.ReadBufferSize, orders.WriteBufferSize = limits.OrderBufferBytes, limits.OrderBufferBytes
 	dialer := &net.Dialer{Timeout: limits.PeerTimeout, KeepAlive: -1}
-	work.DialContext = func(ctx context.Context, _, addr string) (net.Conn, error) {
+	orders.DialContext = func(ctx context.Context, _, addr string) (net.Conn, error) {
 		conn, err := dialer.DialContext(ctx, "tcp4", addr)
 		if err != nil {
 			return nil, err
 		}
 		return newCountedConn(conn, &s.orderConns), nil
 	}
-	return work
+	return orders
 }
 
-// request makes one HTTP request; status 0 is no answer.
+// request makes one HTTP request and returns the status and body of the response. Status 0 means that
+// there was no response.
 func (s *Server) request(client *http.Client, host, method, path string, body any, timeout time.Duration) (int, []byte) {
-	status, b, _ := s.requestTracked(client, host, method, path, body, timeout)
-	return status, b
+	status, answer, _ := s.doRequest(client, host, method, path, body, timeout)
+	return status, answer
 }
 
-// requestTracked is do; unsent tells that there was no connection to send anything on.
-func (s *Server) requestTracked(client *http.Client, host, method, path string, body any, timeout time.Duration) (status int, answer []byte, unsent bool) {
+// doRequest is like request, and also reports whether the request was certainly not sent, because it could
+// not be created or no connection could be opened.
+func (s *Server) doRequest(client *http.Client, host, method, path string, body any, timeout time.Duration) (status int, answer []byte, unsent bool) {
 	ctx, cancel := context.WithTimeout(s.ctx, timeout)
 	defer cancel()
-	var rd io.Reader
+	var reader io.Reader
 	if body != nil {
-		b, err := wire.Encode(body)
+		encoded, err := wire.Encode(body)
 		if err != nil {
-			s.log.Error("request not encoded", "path", path, "error", err)
+			s.log.Error("cannot encode the body of a request", "path", path, "error", err)
 			return 400, nil, true
 		}
-		rd = bytes.NewReader(b)
+		reader = bytes.NewReader(encoded)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+host+path, rd)
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+host+path, reader)
 	if err != nil {
-		s.log.Error("request not made", "path", path, "error", err)
+		s.log.Error("cannot create a request", "path", path, "error", err)
 		return 400, nil, true
 	}
 	if body != nil {
@@ -70,17 +73,17 @@
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		s.log.Debug("no answer", "method", method, "path", path, "error", err)
-		var op *net.OpError
-		return 0, nil, errors.As(err, &op) && op.Op == "dial"
+		s.log.Debug("request failed without a response", "method", method, "path", path, "error", err)
+		var opError *net.OpError
+		return 0, nil, errors.As(err, &opError) && opError.Op == "dial"
 	}
 	defer resp.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(resp.Body, limits.MaxStoreBodyBytes))
+	content, err := io.ReadAll(io.LimitReader(resp.Body, limits.MaxStoreBodyBytes))
 	if err != nil {
 		return 0, nil, false
 	}
 	if resp.StatusCode >= 300 && resp.StatusCode != 404 && resp.StatusCode != 409 {
-		s.log.Debug("refused", "method", method, "path", path, "status", resp.StatusCode, "body", string(b[:min(len(b), 200)]))
+		s.log.Debug("request refused", "method", method, "path", path, "status", resp.StatusCode, "body", string(content[:min(len(content), 200)]))
 	}
-	return resp.StatusCode, b, false
+	return resp.StatusCode, content, false
 }
--- a/internal/controller/job_order.go
+++ b/internal/controller/job_order.go
@@ -63,7 +63,7 @@
 	}
 	age := c.age(job.SubmitUnix).Seconds()
 	for _, target := range completionTargets {
-		if age+limits.HopefulShare*job.EstimateS <= target {
+		if age+limits.MinRunShare*job.EstimateS <= target {
 			return target - age, true
 		}
 	}
@@ -80,7 +80,7 @@
 // before all other jobs of its team. Without this rule, large jobs starve: the other sort
 // criteria put a large job last as long as new jobs arrive.
 func (c *Core) startOverdue(job *jobs.Job) bool {
-	return !job.Started && !job.Cancelled && !job.Faulty() && c.age(job.SubmitUnix) > limits.BeginWithin
+	return !job.Started && !job.Cancelled && !job.Faulty() && c.age(job.SubmitUnix) > limits.StartOverdueAfter
 }
 
 // rankedJob is a job with its sort criteria.
@@ -94,9 +94,9 @@
 // sortedJobs returns the active jobs in scheduling order: first the jobs overdue to start,
 // oldest first; then the others by urgency. Within an urgency, jobs that can still meet a target
 // come first, least slack first; then the jobs that can't, least remaining work first, so that as
-// many late jobs as possible finish soon. The result is cached for SortInterval.
+// many late jobs as possible finish soon. The result is cached for JobSortInterval.
 func (c *Core) sortedJobs() []*jobs.Job {
-	if !c.jobOrderStale && c.now.Steady < c.jobOrderAt+limits.SortInterval {
+	if !c.jobOrderStale && c.now.Steady < c.jobOrderAt+limits.JobSortInterval {
 		return c.jobOrder
 	}
 	c.jobOrderStale, c.jobOrderAt = false, c.now.Steady
@@ -131,7 +131,7 @@
 			capacityCPUs += machineType.CPUs
 		}
 	}
-	overloaded := demandCPUSeconds > capacityCPUs*limits.CrowdedFor.Seconds()
+	overloaded := demandCPUSeconds > capacityCPUs*limits.OverloadHorizon.Seconds()
 	for i := range ranked {
 		if !ranked[i].canMeetTarget || overloaded {
 			ranked[i].sortKey = remainingWork(ranked[i].Job)
--- a/internal/controller/knowledge_log.go
+++ b/internal/controller/knowledge_log.go
@@ -23,7 +23,7 @@
 	latency := c.now.Steady - sentAt
 	c.storeReplyTimes.replies++
 	c.storeReplyTimes.longest = max(c.storeReplyTimes.longest, latency)
-	if latency < limits.SlowStore {
+	if latency < limits.SlowStoreReply {
 		return
 	}
 	c.storeReplyTimes.slow++
@@ -39,11 +39,11 @@
 // logFullReads logs each full read of the records, with the age of the state that it returned.
 func (c *Core) logFullReads() {
 	mirror := c.store.Mirror
-	if mirror.Readings == c.loggedFullReads {
+	if mirror.FullReads == c.loggedFullReads {
 		return
 	}
-	c.loggedFullReads = mirror.Readings
-	c.log(slog.LevelInfo, "records read", "readings", mirror.Readings, "revision", mirror.Revision, "keys", mirror.Len(), "ageS", (c.now.Steady - mirror.KnownThrough).Seconds())
+	c.loggedFullReads = mirror.FullReads
+	c.log(slog.LevelInfo, "records read", "readings", mirror.FullReads, "revision", mirror.Revision, "keys", mirror.Len(), "ageS", (c.now.Steady - mirror.KnownThrough).Seconds())
 }
 
 // logKnowledge periodically logs the state on which this node acts: the leader, this node's terms,
--- a/internal/controller/links.go
+++ b/internal/controller/links.go
@@ -12,30 +12,32 @@
 	"umberpaddle/internal/statestore"
 )
 
-// linkMonitor feeds the view of this controller's links with what the core sends and hears, and
-// exchanges views with peers. A nil one does nothing: the operators' file has not switched it on.
+// linkMonitor derives the state of this controller's links from the messages that the core sends and
+// receives, and exchanges views of the links with peers. The methods of a nil linkMonitor do nothing:
+// it is nil unless the operator settings enable link monitoring.
 type linkMonitor struct {
-	monitor *reachability.Monitor
-	cluster *reachability.Cluster
-	node    string
-	life    uint64
+	monitor     *reachability.Monitor
+	cluster     *reachability.ViewSet
+	node        string
+	incarnation uint64
 
-	calls    map[uint64]linkCall        // under way to the state service and the cloud
-	lastCall uint64                     // number of the last call to a peer
-	workers  map[reachability.Link]bool // links to workers on which reports are expected
-	nextView time.Duration
-	nextTick time.Duration
-	nextLook time.Duration // at which links to workers still have machines
+	pendingCalls    map[uint64]pendingCall     // calls to the state service and the cloud without a reply yet, by storeCallID or cloudCallID
+	lastPeerCall    uint64                     // sequence number of the last call to a peer
+	workerLinks     map[reachability.Link]bool // links to workers from which reports are expected
+	nextView        time.Duration
+	nextTick        time.Duration
+	nextWorkerCheck time.Duration // time of the next suspendUnusedWorkerLinks
 }
 
-// linkCall is a call under way. asksRoom: a refusal may only mean that the cloud has no machine.
-type linkCall struct {
-	link     reachability.Link
-	asksRoom bool
+// pendingCall is a call that has no reply yet. requestsMachine is set for calls that rent machines: a
+// refusal may then only mean that the cloud has no machine available.
+type pendingCall struct {
+	link            reachability.Link
+	requestsMachine bool
 }
 
-// Calls to the state service and to the cloud are numbered apart; in linkMonitor.calls the lowest
-// bit tells them apart.
+// Calls to the state service and to the cloud have separate sequence numbers, which may coincide. As
+// keys of linkMonitor.pendingCalls they are shifted by one bit, and the lowest bit is set for the cloud.
 func storeCallID(id uint64) uint64 { return id << 1 }
 func cloudCallID(id uint64) uint64 { return id<<1 | 1 }
 
@@ -51,43 +53,43 @@
 	return reachability.Link{Kind: reachability.Peer, Name: name}
 }
 
-// workersLink is the link to the workers of a class in a zone.
+// workersLink returns the link to the workers of a class in a zone.
 func workersLink(class, zone string) reachability.Link {
 	return reachability.Link{Kind: reachability.Workers, Name: class + " " + zone}
 }
 
-// newLinkMonitor makes the monitor that the operators' file asks for, or nil.
-func newLinkMonitor(node string, life uint64, settings config.Reachability, now time.Duration) *linkMonitor {
+// newLinkMonitor returns a monitor with the operator settings, or nil if they do not enable link monitoring.
+func newLinkMonitor(node string, incarnation uint64, settings config.Reachability, now time.Duration) *linkMonitor {
 	if !settings.Enabled {
 		return nil
 	}
 	monitor := reachability.NewMonitor(linkSettings(settings), now)
 	monitor.Watch(stateWatches, 0, limits.WatchHold)
 	monitor.WatchIrregular(usersLink)
-	return &linkMonitor{monitor: monitor, cluster: reachability.NewCluster(node, limits.ViewFreshFor), node: node, life: life, calls: map[uint64]linkCall{}, workers: map[reachability.Link]bool{}}
+	return &linkMonitor{monitor: monitor, cluster: reachability.NewViewSet(node, limits.ViewMaxAge), node: node, incarnation: incarnation, pendingCalls: map[uint64]pendingCall{}, workerLinks: map[reachability.Link]bool{}}
 }
 
-// linkSettings are the built-in settings with what the operators' file changes.
-func linkSettings(o config.Reachability) reachability.Settings {
+// linkSettings returns the built-in settings, overridden by those that the operator settings give.
+func linkSettings(overrides config.Reachability) reachability.Settings {
 	return reachability.Settings{
-		Quantile:       limits.LinkQuantile,
-		SuspectFactor:  cmp.Or(o.SuspectFactor, limits.LinkSuspectFactor),
-		DownFactor:     limits.LinkDownFactor,
-		Floor:          limits.LinkFloor,
-		LossesForDown:  limits.LinkLosses,
-		GuessedLatency: limits.SlowStore,
-		RotateEvery:    limits.LinkRotate,
-		RefreshEvery:   limits.LinkRefresh,
+		Quantile:        limits.LinkQuantile,
+		SuspectFactor:   cmp.Or(overrides.SuspectFactor, limits.LinkSuspectFactor),
+		DownFactor:      limits.LinkDownFactor,
+		Slack:           limits.LinkFloor,
+		LossesForDown:   limits.LinkLossesForDown,
+		InitialLatency:  limits.SlowStoreReply,
+		RotateInterval:  limits.LinkRotateInterval,
+		RefreshInterval: limits.LinkRefreshInterval,
 		Damper: reachability.DamperSettings{
-			HalfLife:           cmp.Or(limits.Seconds(o.FlapHalfLifeS), limits.FlapHalfLife),
-			Suppress:           cmp.Or(o.FlapSuppress, limits.FlapSuppress),
-			Reuse:              cmp.Or(o.FlapReuse, limits.FlapReuse),
-			LongestSuppression: cmp.Or(limits.Seconds(o.FlapLongestS), limits.FlapLongest),
+			HalfLife:          cmp.Or(limits.Seconds(overrides.FlapHalfLifeS), limits.FlapHalfLife),
+			SuppressThreshold: cmp.Or(overrides.FlapSuppress, limits.FlapSuppress),
+			ReuseThreshold:    cmp.Or(overrides.FlapReuse, limits.FlapReuse),
+			MaxSuppression:    cmp.Or(limits.Seconds(overrides.FlapLongestS), limits.FlapLongestSuppression),
 		},
 	}
 }
 
-// stateLink is the link that a call to the state service goes over.
+// stateLink returns the link that a call to the state service uses.
 func stateLink(call statestore.Call) reachability.Link {
 	switch {
 	case call.IsWatch():
@@ -98,141 +100,145 @@
 	return stateRequests
 }
 
-// noteSent takes note of the calls among the outputs of a step.
-func (l *linkMonitor) noteSent(out []Output, now time.Duration) {
+// recordOutputs records the calls among the outputs of a step, and gives calls to peers their sequence
+// numbers.
+func (l *linkMonitor) recordOutputs(outputs []Output, now time.Duration) {
 	if l == nil {
 		return
 	}
-	for i, o := range out {
-		switch x := o.(type) {
+	for i, output := range outputs {
+		switch call := output.(type) {
 		case StoreCall:
-			l.sent(storeCallID(x.ID), linkCall{link: stateLink(x.Call)}, now)
+			l.recordSent(storeCallID(call.ID), pendingCall{link: stateLink(call.Call)}, now)
 		case CloudCall:
-			l.sent(cloudCallID(x.ID), linkCall{link: cloudLink, asksRoom: x.Method == http.MethodPost}, now)
+			l.recordSent(cloudCallID(call.ID), pendingCall{link: cloudLink, requestsMachine: call.Method == http.MethodPost}, now)
 		case PeerCall:
-			l.lastCall++
-			x.Number = l.lastCall
-			out[i] = x
-			l.monitor.Sent(peerLink(x.Peer), x.Number, now)
+			l.lastPeerCall++
+			call.Number = l.lastPeerCall
+			outputs[i] = call
+			l.monitor.Sent(peerLink(call.Peer), call.Number, now)
 		}
 	}
 }
 
-func (l *linkMonitor) sent(id uint64, call linkCall, now time.Duration) {
-	l.calls[id] = call
+func (l *linkMonitor) recordSent(id uint64, call pendingCall, now time.Duration) {
+	l.pendingCalls[id] = call
 	l.monitor.Sent(call.link, id, now)
 }
 
-// noteInput takes note of what has reached this controller.
-func (l *linkMonitor) noteInput(in Input, now time.Duration) {
+// recordInput records the replies and messages that this controller receives.
+func (l *linkMonitor) recordInput(input Input, now time.Duration) {
 	if l == nil {
 		return
 	}
-	switch x := in.(type) {
+	switch received := input.(type) {
 	case StoreReply:
-		l.replied(storeCallID(x.ID), x.Status, now)
+		l.recordReply(storeCallID(received.ID), received.Status, now)
 	case CloudReply:
-		l.replied(cloudCallID(x.ID), x.Status, now)
+		l.recordReply(cloudCallID(received.ID), received.Status, now)
 	case PeerReply:
-		link := peerLink(x.Call.Peer)
-		if x.Unanswered {
-			l.monitor.Lost(link, x.Call.Number, now)
+		link := peerLink(received.Call.Peer)
+		if received.Unanswered {
+			l.monitor.Lost(link, received.Call.Number, now)
 		} else {
-			l.monitor.Answered(link, x.Call.Number, now, false)
+			l.monitor.Answered(link, received.Call.Number, now, false)
 		}
 	case PeerRequest:
-		l.peerHeard(x.Msg, now)
+		l.recordPeerMessage(received.Msg, now)
 	case Submit, Query, Cancel:
-		l.monitor.Heard(usersLink, now)
+		l.monitor.Received(usersLink, now)
 	}
 }
 
-// replied takes note of the reply to a call to the state service or the cloud. A refusal for the
-// budget (429) is served as far as the link goes.
-func (l *linkMonitor) replied(id uint64, status int, now time.Duration) {
-	call, ok := l.calls[id]
+// recordReply records the reply to a call to the state service or the cloud. Of the refusals, only 503
+// counts against the link, and not if the call requested a machine. A refusal because a request budget is
+// used up (429) shows that the link works.
+func (l *linkMonitor) recordReply(id uint64, status int, now time.Duration) {
+	call, ok := l.pendingCalls[id]
 	if !ok {
 		return
 	}
-	delete(l.calls, id)
+	delete(l.pendingCalls, id)
 	if status == statestore.NoAnswer {
 		l.monitor.Lost(call.link, id, now)
 		return
 	}
-	l.monitor.Answered(call.link, id, now, status == http.StatusServiceUnavailable && !call.asksRoom)
+	l.monitor.Answered(call.link, id, now, status == http.StatusServiceUnavailable && !call.requestsMachine)
 }
 
-// peerHeard takes note of a peer's message, and of the view that it may carry. Only a peer that
-// sends views is expected to go on doing so.
-func (l *linkMonitor) peerHeard(m PeerMessage, now time.Duration) {
-	if m.View == nil || m.View.Node != m.From {
+// recordPeerMessage records a peer's message that carries a view, and stores the view. From the first
+// view on, the peer is expected to send one every limits.ViewInterval. Messages without a view are
+// ignored: peers that run an older version or without link monitoring send no views.
+func (l *linkMonitor) recordPeerMessage(message PeerMessage, now time.Duration) {
+	if message.View == nil || message.View.Node != message.From {
 		return
 	}
-	l.monitor.Watch(peerLink(m.From), limits.ViewInterval, 0)
-	l.monitor.Heard(peerLink(m.From), now)
-	l.cluster.Learn(*m.View, now)
+	l.monitor.Watch(peerLink(message.From), limits.ViewInterval, 0)
+	l.monitor.Received(peerLink(message.From), now)
+	l.cluster.Add(*message.View, now)
 }
 
-// workerHeard takes note of a worker's report for a class that this controller owns.
-func (l *linkMonitor) workerHeard(class, zone string, report, now time.Duration) {
+// recordWorkerReport records a report from a worker of a class that this controller owns. The next
+// report over the same link is expected within interval.
+func (l *linkMonitor) recordWorkerReport(class, zone string, interval, now time.Duration) {
 	if l == nil {
 		return
 	}
 	link := workersLink(class, zone)
-	l.workers[link] = true
-	l.monitor.Watch(link, report, 0)
-	l.monitor.Heard(link, now)
+	l.workerLinks[link] = true
+	l.monitor.Watch(link, interval, 0)
+	l.monitor.Received(link, now)
 }
 
-// watchLinksToWorkers stops expecting reports from classes and zones in which this controller has
-// no machines any more: it does not own the class, or it has returned them.
-func (c *Core) watchLinksToWorkers() {
-	l := c.links
-	if l == nil || c.now.Steady < l.nextLook {
+// suspendUnusedWorkerLinks stops expecting reports from a class and zone in which this controller no
+// longer has machines, because it does not own the class or has returned all of them.
+func (c *Core) suspendUnusedWorkerLinks() {
+	links := c.links
+	if links == nil || c.now.Steady < links.nextWorkerCheck {
 		return
 	}
-	l.nextLook = c.now.Steady + limits.LinkRefresh
+	links.nextWorkerCheck = c.now.Steady + limits.LinkRefreshInterval
 	inUse := map[reachability.Link]bool{}
-	for _, m := range c.pool.Machines {
-		if m.Adopted && !m.Deleting {
-			inUse[workersLink(m.Class, m.Zone)] = true
+	for _, machine := range c.pool.Machines {
+		if machine.Adopted && !machine.Deleting {
+			inUse[workersLink(machine.Class, machine.Zone)] = true
 		}
 	}
-	for link := range l.workers {
+	for link := range links.workerLinks {
 		if !inUse[link] {
-			delete(l.workers, link)
-			l.monitor.Suspend(link)
+			delete(links.workerLinks, link)
+			links.monitor.Suspend(link)
 		}
 	}
 }
 
-// stoodStill takes note that this process did nothing for a while.
-func (l *linkMonitor) stoodStill(by time.Duration) {
+// recordPause excludes a pause of this process from the gaps and latencies of the links.
+func (l *linkMonitor) recordPause(pause time.Duration) {
 	if l != nil {
-		l.monitor.StoodStill(by)
+		l.monitor.ExcludePause(pause)
 	}
 }
 
-// tick judges the links, logs what has changed, and returns the view to send to peers, if it is
-// time to.
+// tick updates the states of the links, logs those that changed, and returns the view to send to
+// peers, or nil if none is due.
 func (l *linkMonitor) tick(now time.Duration, log func(slog.Level, string, ...any)) *reachability.View {
 	if l == nil || now < l.nextTick {
 		return nil
 	}
 	l.nextTick = now + limits.TickInterval
 	changes := l.monitor.Tick(now)
-	for _, c := range changes {
+	for _, change := range changes {
 		level := slog.LevelDebug
-		if c.From.Works() != c.To.Works() {
+		if change.From.Works() != change.To.Works() {
 			level = slog.LevelInfo
 		}
-		log(level, "link changed", "link", c.Link.String(), "state", c.To, "before", c.From, "afterS", c.After.Seconds(), "suppressed", c.Suppressed)
+		log(level, "link changed", "link", change.Link.String(), "state", change.To, "before", change.From, "afterS", change.SilentFor.Seconds(), "suppressed", change.Suppressed)
 	}
 	if len(changes) == 0 && now < l.nextView {
 		return nil
 	}
-	view := l.monitor.View(l.node, l.life)
-	l.cluster.Learn(view, now)
+	view := l.monitor.View(l.node, l.incarnation)
+	l.cluster.Add(view, now)
 	if now < l.nextView {
 		return nil
 	}
@@ -240,19 +246,19 @@
 	return &view
 }
 
-// LinksReply tells what a controller knows of links, its own and others'.
+// LinksReply holds the views of links that a controller has: its own and those that its peers sent.
 type LinksReply struct {
 	Views []reachability.View
-	// StateLoss and WorkersLoss tell who has lost the state service and the workers, as the
-	// asked controller sees it.
-	StateLoss, WorkersLoss reachability.Extent
+	// StateLoss and WorkersLoss are the extents to which the controllers have lost the state service
+	// and the workers, as far as the replying controller can tell from the views.
+	StateLoss, WorkersLoss reachability.LossExtent
 }
 
-// reply tells what is known; the second result is false if the monitor is off.
-func (l *linkMonitor) reply(now time.Duration) (LinksReply, bool) {
+// linksReply returns the current views; the second result is false if link monitoring is off.
+func (l *linkMonitor) linksReply(now time.Duration) (LinksReply, bool) {
 	if l == nil {
 		return LinksReply{}, false
 	}
-	l.cluster.Learn(l.monitor.View(l.node, l.life), now)
-	return LinksReply{Views: l.cluster.Views(now), StateLoss: l.cluster.Loss(reachability.StateHalf, now), WorkersLoss: l.cluster.Loss(reachability.WorkersHalf, now)}, true
+	l.cluster.Add(l.monitor.View(l.node, l.incarnation), now)
+	return LinksReply{Views: l.cluster.Views(now), StateLoss: l.cluster.Loss(reachability.StateDependency, now), WorkersLoss: l.cluster.Loss(reachability.WorkersDependency, now)}, true
 }
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -68,10 +68,10 @@
 	if c.now.Steady < c.nextRecordScan {
 		return
 	}
-	c.nextRecordScan = c.now.Steady + limits.ScanInterval
+	c.nextRecordScan = c.now.Steady + limits.RecordScanInterval
 	if c.fleetChanged || c.now.Steady >= c.nextFleetScan {
 		c.fleetChanged = false
-		c.nextFleetScan = c.now.Steady + limits.FleetScanInterval
+		c.nextFleetScan = c.now.Steady + limits.MachineRecordScanInterval
 		c.recordMachinesUp()
 		c.recordMachinesBooting()
 		c.removeGoneMachineRecords()
@@ -83,9 +83,9 @@
 // removeGoneMachineRecords removes the records of machines that the cloud has deleted.
 func (c *Core) removeGoneMachineRecords() {
 	for id, record := range c.machineRecords {
-		if _, owned := c.activeTerms[record.Class]; owned && c.fleet.IsGone(id) {
+		if _, owned := c.activeTerms[record.Class]; owned && c.fleet.IsDeleted(id) {
 			delete(c.recordRequested, id)
-			c.machineTable.Remove(id, limits.PageDelay)
+			c.machineTable.Remove(id, limits.DeferredWriteDelay)
 		}
 	}
 }
@@ -105,7 +105,7 @@
 		}
 		since := c.now.Steady
 		if rental := c.fleet.Rentals[m.ID]; rental != nil {
-			since = rental.Since
+			since = rental.RentedAt
 		}
 		record := c.newMachineRecord(rentalKind(m), since)
 		record.Up, record.Address = true, m.Address
@@ -121,14 +121,14 @@
 	for id, rental := range c.fleet.Rentals {
 		_, recorded := c.machineRecords[id]
 		_, owned := c.activeTerms[rental.Kind.Class]
-		if owned && !recorded && !c.recordRequested[id] && !rental.Deleted && !rental.Up && rental.Listed == "" {
+		if owned && !recorded && !c.recordRequested[id] && !rental.Deleting && !rental.Up && rental.ListedStatus == "" {
 			booting = append(booting, id)
 		}
 	}
 	slices.Sort(booting) // map order must not decide which records share a key
 	for _, id := range booting {
 		rental := c.fleet.Rentals[id]
-		c.machineTable.Set(rental.Kind.Class, id, c.newMachineRecord(rental.Kind, rental.Since), limits.PageDelay)
+		c.machineTable.Set(rental.Kind.Class, id, c.newMachineRecord(rental.Kind, rental.RentedAt), limits.DeferredWriteDelay)
 	}
 }
 
@@ -151,7 +151,7 @@
 		return
 	}
 	c.savingTypes = true
-	c.store.Txn(statestore.Progress, limits.StoreTimeout, txn, func(reply statestore.Reply) {
+	c.store.Txn(statestore.PriorityProgress, limits.StoreTimeout, txn, func(reply statestore.Reply) {
 		c.savingTypes = false
 		if reply.Status == statestore.OK {
 			for _, op := range txn.Then {
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -26,8 +26,8 @@
 	massSilence, mostReported := c.massSilence(), c.mostMachinesReported()
 	c.probeSilentMachines()
 	for _, machine := range c.pool.Sorted() {
-		if !machine.Lost && c.pool.Expired(machine, now) {
-			machine.Lost = true
+		if !machine.LeaseExpired && c.pool.Expired(machine, now) {
+			machine.LeaseExpired = true
 			machine.Adopted = false
 			if machine.NotFenced {
 				c.renewals.FenceLeases++
@@ -39,7 +39,7 @@
 			c.returnIfUnusable(machine, massSilence && c.mayWaitForSilent(machine), c.presumedDead(machine, lastHeard, mostReported))
 		}
 		// Unassign the launches planned for a machine that has gone silent: none of them was sent.
-		if load := c.loads[machine.ID]; load != nil && load.planned > 0 && !machine.Usable(now, c.pool.Report) {
+		if load := c.loads[machine.ID]; load != nil && load.planned > 0 && !machine.Usable(now, c.pool.ReportInterval) {
 			for _, taskID := range load.plannedTaskIDs() {
 				c.unassign(load.tasks[taskID].job, load.tasks[taskID].task)
 			}
@@ -52,11 +52,11 @@
 	now := c.now.Steady
 	switch {
 	case !mayWait && presumedDead && c.bootedOrOverdue(machine):
-		if machine.Spot && machine.Recall == 0 {
-			c.fleet.SpotLost()
+		if machine.Spot && machine.RecallAt == 0 {
+			c.fleet.RecordSpotLoss()
 		}
 		c.returnMachine(machine, fleet.ReturnSilent)
-	case machine.Recall != 0 && now > machine.Recall+limits.RecallSlack && machine.LastReport < machine.Recall:
+	case machine.RecallAt != 0 && now > machine.RecallAt+limits.RecallSlack && machine.LastReport < machine.RecallAt:
 		c.returnMachine(machine, fleet.ReturnRecalled)
 	case machine.Draining && machine.Adopted && (machine.Faulty || c.tasksOn(machine.ID) == 0) && !c.holdsUnstoredResults(machine):
 		// A faulty machine is returned together with its running tasks, which would fail as well.
@@ -69,14 +69,14 @@
 // machine, nor while the cloud can supply other machines of its kind, on which its tasks continue
 // sooner.
 func (c *Core) mayWaitForSilent(machine *workers.Machine) bool {
-	return !machine.Spot && !c.awaitedByTakeover(machine) && c.fleet.Refused(fleet.Kind{Class: machine.Class, Zone: machine.Zone}) &&
-		c.now.Steady-machine.LastReport < limits.MassSilenceLeases*c.pool.Lease
+	return !machine.Spot && !c.awaitedByTakeover(machine) && c.fleet.RecentlyRefused(fleet.Kind{Class: machine.Class, Zone: machine.Zone}) &&
+		c.now.Steady-machine.LastReport < limits.MassSilenceLeases*c.pool.LeaseDuration
 }
 
 // bootedOrOverdue reports whether a silent machine has been up, or has had enough time to boot.
 func (c *Core) bootedOrOverdue(machine *workers.Machine) bool {
 	rental := c.fleet.Track(machine.ID, rentalKind(machine), machine.LastReport)
-	return rental != nil && (rental.Up || machine.Lost || rental.Listed == wire.MachineRunning || c.now.Steady-rental.Since > c.bootLimit(machine.Class))
+	return rental != nil && (rental.Up || machine.LeaseExpired || rental.ListedStatus == wire.MachineRunning || c.now.Steady-rental.RentedAt > c.bootLimit(machine.Class))
 }
 
 // rentalKind returns the kind under which a machine is rented.
--- a/internal/controller/owned_classes.go
+++ b/internal/controller/owned_classes.go
@@ -33,7 +33,7 @@
 		}
 		return weightOf(c.settings.Label) / total
 	}
-	c.store.SetShare(share(limits.OwnerWeight), share(limits.OwnerWrites))
+	c.store.SetShare(share(limits.OwnerRequestWeight), share(limits.OwnerWriteWeight))
 }
 
 // demand returns the classes that each team's unfinished jobs may use. A cancelled job counts until
@@ -61,7 +61,7 @@
 		if claim := claims[class]; claim == nil || claim.Term != c.activeTerms[class] {
 			delete(c.activeTerms, class)
 			c.releaseClass(class)
-			c.machineTable.Forget(class)
+			c.machineTable.DropPending(class)
 			c.jobs.DropPendingWrites(class)
 			clear(c.recordRequested)
 			c.fleetChanged = true
@@ -79,7 +79,7 @@
 		for machineID, record := range c.machineRecords {
 			if record.Class == class {
 				if record.Up {
-					c.pool.Expect(machineID, record.Class, record.Zone, record.Spot, claim.Since).Address = record.Address
+					c.pool.GetOrAdd(machineID, record.Class, record.Zone, record.Spot, claim.Since).Address = record.Address
 				}
 				if rental := c.fleet.Track(machineID, fleet.Kind{Class: record.Class, Zone: record.Zone, Spot: record.Spot}, c.now.Steady-c.age(float64(record.RentedUnix))); rental != nil {
 					rental.WasUp = record.Up
@@ -94,7 +94,7 @@
 		if machine.Class == class {
 			c.refuseHeldReport(machine.ID)
 			c.unassignMachine(machine.ID)
-			c.pool.Drop(machine.ID)
+			c.pool.Remove(machine.ID)
 		}
 	}
 	for machineID, rental := range c.fleet.Rentals {
@@ -170,6 +170,6 @@
 // handleMachineDeleted removes a machine after its deletion was answered with 200.
 func (c *Core) handleMachineDeleted(machineID string) {
 	c.unassignMachine(machineID)
-	c.pool.Drop(machineID)
+	c.pool.Remove(machineID)
 	c.schedulingDue, c.jobsChanged, c.fleetChanged = true, true, true
 }
--- a/internal/controller/peer_messages.go
+++ b/internal/controller/peer_messages.go
@@ -51,7 +51,7 @@
 // probes, and job counts.
 func (c *Core) messagePeers() {
 	now := c.now.Steady
-	c.watchLinksToWorkers()
+	c.suspendUnusedWorkerLinks()
 	if view := c.links.tick(now, c.log); view != nil {
 		c.messageAll(PeerMessage{View: view})
 	}
@@ -115,7 +115,7 @@
 		return
 	}
 	if request.Msg.Visited {
-		c.outputs = append(c.outputs, Answer{Ref: request.Ref, Status: 200, Body: PeerAnswer{Yes: c.lastForeignArrival > 0 && c.now.Steady-c.lastForeignArrival < limits.ForeignArrivalFor}})
+		c.outputs = append(c.outputs, Answer{Ref: request.Ref, Status: 200, Body: PeerAnswer{Yes: c.lastForeignArrival > 0 && c.now.Steady-c.lastForeignArrival < limits.ForeignArrivalMaxAge}})
 		return
 	}
 	if request.Msg.Promise {
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -10,42 +10,41 @@
 	"umberpaddle/internal/limits"
 )
 
-// Peer is the net/rpc service that controllers offer each other.
-type Peer struct{ s *Server }
+// Peer is the net/rpc service through which other controllers call this one.
+type Peer struct{ server *Server }
 
-// Tell takes a message and answers it.
-func (p *Peer) Tell(m PeerMessage, answer *PeerAnswer) error {
-	a, ok := p.s.ask(func(ref uint64) Input { return PeerRequest{ref, m} }, limits.PeerTimeout)
+// Tell passes a peer's message to the core and returns the core's answer.
+func (p *Peer) Tell(message PeerMessage, answer *PeerAnswer) error {
+	coreAnswer, ok := p.server.callCore(func(ref uint64) Input { return PeerRequest{ref, message} }, limits.PeerTimeout)
 	if !ok {
 		return errors.New("no answer from the loop")
 	}
-	*answer, _ = a.Body.(PeerAnswer)
+	*answer, _ = coreAnswer.Body.(PeerAnswer)
 	return nil
 }
 
-// LinksRequest asks a controller what it knows of links.
+// LinksRequest is a request for a controller's view of the links.
 type LinksRequest struct{}
 
-// ErrLinksOff tells that the operators' file of the asked controller has not switched on the view
-// of links.
-var ErrLinksOff = errors.New("the view of links is not switched on")
+// ErrLinksDisabled is returned by a controller whose operator settings do not enable link monitoring.
+var ErrLinksDisabled = errors.New("the view of links is not switched on")
 
-// Links tells an operator what this controller knows of links.
+// Links returns this controller's view of the links. The links command calls it.
 func (p *Peer) Links(_ LinksRequest, reply *LinksReply) error {
-	a, ok := p.s.ask(func(ref uint64) Input { return LinksQuery{ref} }, limits.PeerTimeout)
+	answer, ok := p.server.callCore(func(ref uint64) Input { return LinksQuery{ref} }, limits.PeerTimeout)
 	if !ok {
 		return errors.New("no answer from the loop")
 	}
-	known, on := a.Body.(LinksReply)
-	if !on {
-		return ErrLinksOff
+	links, enabled := answer.Body.(LinksReply)
+	if !enabled {
+		return ErrLinksDisabled
 	}
-	*reply = known
+	*reply = links
 	return nil
 }
 
-// AskLinks asks the controller at a peer address what it knows of links.
-func AskLinks(address string, timeout time.Duration) (reply LinksReply, err error) {
+// FetchLinks requests the view of the links from the controller at a peer address.
+func FetchLinks(address string, timeout time.Duration) (reply LinksReply, err error) {
 	conn, err := net.DialTimeout("tcp4", address, timeout)
 	if err != nil {
 		return reply, err
@@ -58,14 +57,15 @@
 	return reply, err
 }
 
-func (s *Server) servePeers(l net.Listener) {
+// servePeers accepts connections from peers and serves their calls until the server stops.
+func (s *Server) servePeers(listener net.Listener) {
 	server := rpc.NewServer()
 	if err := server.Register(&Peer{s}); err != nil {
 		s.log.Error("peer service", "error", err)
 		return
 	}
 	for {
-		c, err := l.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			if s.ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 				return
@@ -73,51 +73,53 @@
 			time.Sleep(limits.TickInterval)
 			continue
 		}
-		go server.ServeConn(c)
+		go server.ServeConn(conn)
 	}
 }
 
-// peer is the connection to another controller; one call at a time.
-type peer struct {
-	addr   string
-	mu     sync.Mutex
-	client *rpc.Client
-	calls  int
+// peerClient makes calls to another controller. All calls share one connection, which is opened by the
+// first call and closed when a call fails. At most limits.MaxPeerCalls calls are in progress at a time.
+type peerClient struct {
+	addr         string
+	mu           sync.Mutex
+	client       *rpc.Client
+	pendingCalls int
 }
 
-func (p *peer) call(m PeerMessage) (answer PeerAnswer, err error) {
+// call sends a message to the peer and returns its answer.
+func (p *peerClient) call(message PeerMessage) (answer PeerAnswer, err error) {
 	p.mu.Lock()
-	if p.calls >= limits.PeerCalls {
+	if p.pendingCalls >= limits.MaxPeerCalls {
 		p.mu.Unlock()
-		return answer, errors.New("peer is slow")
+		return answer, errors.New("too many calls to the peer are in progress")
 	}
-	p.calls++
-	defer func() { p.mu.Lock(); p.calls--; p.mu.Unlock() }()
+	p.pendingCalls++
+	defer func() { p.mu.Lock(); p.pendingCalls--; p.mu.Unlock() }()
 	if p.client == nil {
 		p.mu.Unlock()
-		c, err := net.DialTimeout("tcp4", p.addr, limits.PeerTimeout)
+		conn, err := net.DialTimeout("tcp4", p.addr, limits.PeerTimeout)
 		if err != nil {
 			return answer, err
 		}
 		p.mu.Lock()
 		if p.client == nil {
-			p.client = rpc.NewClient(c)
+			p.client = rpc.NewClient(conn)
 		} else {
-			c.Close()
+			conn.Close()
 		}
 	}
 	client := p.client
 	p.mu.Unlock()
-	into := new(PeerAnswer)
-	done := client.Go("Peer.Tell", m, into, make(chan *rpc.Call, 1)).Done
-	t := time.NewTimer(limits.PeerTimeout)
-	defer t.Stop()
+	result := new(PeerAnswer)
+	done := client.Go("Peer.Tell", message, result, make(chan *rpc.Call, 1)).Done
+	timeout := time.NewTimer(limits.PeerTimeout)
+	defer timeout.Stop()
 	select {
 	case call := <-done:
 		err = call.Error
-	case <-t.C:
-		// The late answer writes to a variable that nobody reads any more.
-		err = errors.New("no answer")
+	case <-timeout.C:
+		// An answer that arrives later is written to result, which is not read after a timeout.
+		err = errors.New("no answer from the peer within the timeout")
 	}
 	if err != nil {
 		p.mu.Lock()
@@ -128,17 +130,18 @@
 		client.Close()
 		return PeerAnswer{}, err
 	}
-	return *into, nil
+	return *result, nil
 }
 
-func (s *Server) callPeer(x PeerCall, asker *Core) {
-	p := s.peers[x.Peer]
-	if p == nil {
+// callPeer makes a call to a peer and sends the result to the event loop as a PeerReply for caller.
+func (s *Server) callPeer(call PeerCall, caller *Core) {
+	client := s.peers[call.Peer]
+	if client == nil {
 		return
 	}
-	answer, err := p.call(x.Msg)
+	answer, err := client.call(call.Msg)
 	if err != nil {
-		s.log.Debug("peer not reached", "peer", x.Peer, "error", err)
+		s.log.Debug("call to a peer failed", "peer", call.Peer, "error", err)
 	}
-	s.send(inboxEvent{in: PeerReply{Call: x, Answer: answer, Unanswered: err != nil}, asker: asker})
+	s.send(inboxEvent{input: PeerReply{Call: call, Answer: answer, Unanswered: err != nil}, caller: caller})
 }
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -71,7 +71,7 @@
 		return
 	}
 	candidates, tasks := c.preemptibleTasks(machines)
-	maxPreemptions := 1 + int(limits.PreemptShare*float64(len(machines)))
+	maxPreemptions := 1 + int(limits.MaxPreemptShare*float64(len(machines)))
 	for _, chosen := range allocation.Preempt(round.teams, machines, candidates, pending, maxPreemptions) {
 		attempts := map[string]uint64{}
 		saveS := 0.0
@@ -81,7 +81,7 @@
 			saveS = max(saveS, ref.job.SaveS)
 		}
 		c.preemptions[chosen.Machine.ID] = &preemption{job: chosen.Unit.Job, tasks: attempts,
-			expiresAt: steadyNow + 2*c.pool.Report + limits.Seconds(saveS) + limits.PreemptSlack}
+			expiresAt: steadyNow + 2*c.pool.ReportInterval + limits.Seconds(saveS) + limits.PreemptSlack}
 		c.log(slog.LevelDebug, "room claimed", "job", chosen.Unit.Job, "machine", chosen.Machine.ID, "tasks", len(attempts))
 	}
 }
@@ -111,7 +111,7 @@
 		machineByID[machine.ID] = machine
 	}
 	for _, job := range c.sortedJobs() {
-		if job.CheckS <= 0 || job.Gang || job.Cancelled || c.jobs.Open[job.ID] != job {
+		if job.CheckpointS <= 0 || job.Gang || job.Cancelled || c.jobs.Open[job.ID] != job {
 			continue
 		}
 		for _, task := range job.AssignedTasks() {
@@ -121,7 +121,7 @@
 			if assignment.State != jobs.Running || tooShort || machine == nil || c.preemptions[assignment.Machine] != nil {
 				continue
 			}
-			candidates = append(candidates, allocation.Preemptible{ID: len(tasks), Team: job.Team, Machine: machine, Need: taskResources(job), Low: job.Urgency == wire.UrgencyLow})
+			candidates = append(candidates, allocation.Preemptible{ID: len(tasks), Team: job.Team, Machine: machine, Need: taskResources(job), LowPriority: job.Urgency == wire.UrgencyLow})
 			tasks = append(tasks, taskRef{job, task})
 		}
 	}
--- a/internal/controller/rental_plan.go
+++ b/internal/controller/rental_plan.go
@@ -14,10 +14,10 @@
 
 // planFleet rents machines for work that fits on no existing machine and returns idle machines.
 func (c *Core) planFleet() {
-	if len(c.fleet.Types) == 0 || !c.fleet.Listed {
+	if len(c.fleet.Types) == 0 || !c.fleet.HasFullList {
 		return
 	}
-	c.fleet.RemoveDeadRentals(c.now.Steady-c.lastReport <= c.maxReportGap(), c.reportsResumedAt)
+	c.fleet.DeleteDeadRentals(c.now.Steady-c.lastReport <= c.maxReportGap(), c.reportsResumedAt)
 	c.logUsage()
 	machines, capacity, unresolved := c.availableMachines(true)
 	teams := c.teamDemands(true, unresolved)
@@ -34,7 +34,7 @@
 	}
 	c.rentForSmallTasks(plan, machines)
 	for _, kind := range sortedKinds(plan.counts) {
-		for count := plan.counts[kind]; count > 0 && c.fleet.MayRent(kind); count -= limits.RentMost {
+		for count := plan.counts[kind]; count > 0 && c.fleet.MayRent(kind); count -= limits.MaxRentalsPerRequest {
 			c.fleet.Rent(kind, count)
 		}
 	}
@@ -149,10 +149,10 @@
 			secondsLeft = limits.RentHorizon.Seconds()
 		}
 		additionalCPUs := func(share float64) float64 {
-			t := max(secondsLeft*share-job.EstimateS/2, bootS+limits.RentLeast.Seconds())
+			t := max(secondsLeft*share-job.EstimateS/2, bootS+limits.MinUsefulRental.Seconds())
 			return (workBefore - capacityCPUs*t) / (t - bootS)
 		}
-		result[job.ID] = shortfall{withMargin: additionalCPUs(limits.EasyShare), onTime: additionalCPUs(limits.TightShare)}
+		result[job.ID] = shortfall{withMargin: additionalCPUs(limits.WithMarginShare), onTime: additionalCPUs(limits.OnTimeShare)}
 	}
 	return result
 }
@@ -216,7 +216,7 @@
 		movable := c.movableCPUs(class, scarceClasses, machines)
 		for _, zone := range machineType.Zones {
 			kind := fleet.Kind{Class: class, Zone: zone, Spot: true}
-			for len(plan.rentals) < limits.RentalsPlanned && min(movable, lackedCPUs) >= machineType.CPUs && c.operator.Spot() && c.fleet.Available(kind) {
+			for len(plan.rentals) < limits.MaxPlannedRentals && min(movable, lackedCPUs) >= machineType.CPUs && c.operator.SpotAllowed() && c.fleet.Available(kind) {
 				plan.addRental(kind, allocation.Resources{})
 				movable -= machineType.CPUs
 				lackedCPUs -= machineType.CPUs
@@ -257,7 +257,7 @@
 	if plan.place(unit) {
 		return true
 	}
-	if len(plan.rentals) >= limits.RentalsPlanned {
+	if len(plan.rentals) >= limits.MaxPlannedRentals {
 		return false
 	}
 	kind, ok := c.cheapestKind(unit, func(spot bool) bool {
@@ -304,7 +304,7 @@
 			continue
 		}
 		spot := fleet.Kind{Class: machineType.Name, Zone: zone, Spot: true}
-		if unit.Spot && c.operator.Spot() && c.fleet.Available(spot) {
+		if unit.Spot && c.operator.SpotAllowed() && c.fleet.Available(spot) {
 			kinds = append(kinds, spot)
 		}
 		if onDemand := (fleet.Kind{Class: machineType.Name, Zone: zone}); c.fleet.Available(onDemand) {
@@ -343,7 +343,7 @@
 		return limits.Seconds(c.operator.IdleReturnS)
 	}
 	if machineType := c.fleet.Types[class]; machineType != nil {
-		return limits.Seconds(machineType.BootS * limits.IdleBoots)
+		return limits.Seconds(machineType.BootS * limits.IdleBootTimes)
 	}
 	return limits.MinCharge
 }
@@ -361,14 +361,14 @@
 		// this rule, hundreds of these machines were returned in an incident, with the images
 		// on them, and rented again a few seconds later.
 		if c.tasksOn(machine.ID) > 0 || used[machine.ID] || c.gangOnlyMachines[machine.ID] || c.keptIdleClasses[machine.Class] || c.holdsUnstoredResults(machine) {
-			rental.Idle = 0
+			rental.IdleSince = 0
 			continue
 		}
-		if rental.Idle == 0 {
-			rental.Idle = steadyNow
+		if rental.IdleSince == 0 {
+			rental.IdleSince = steadyNow
 		}
 		maxIdle := c.idleLimit(machine.Class)
-		if steadyNow-rental.Idle > maxIdle && steadyNow-rental.Since > limits.MinCharge {
+		if steadyNow-rental.IdleSince > maxIdle && steadyNow-rental.RentedAt > limits.MinCharge {
 			c.returnMachine(machine, fleet.ReturnIdle)
 		}
 	}
