--- a/internal/controller/core_fault_test.go
+++ b/internal/controller/core_fault_test.go
@@ -13,8 +13,8 @@
 )
 
 // TestRepliesToAnEarlierCoreAreDropped guards against a controller that acts on stale records after
-// its core restarts because of a fault. The new core numbers its calls from the start again, so a
-// late reply to a call of the earlier core was taken for the reply to a call of the new one.
+// its core is replaced because of a fault. The new core numbers its calls from the start again, so a
+// late reply to a call of the earlier core can be mistaken for the reply to a call of the new one.
 func TestRepliesToAnEarlierCoreAreDropped(t *testing.T) {
 	t.Parallel()
 	pendingReads := make(chan chan struct{}, 8) // for each read of the records, a channel that releases its reply
@@ -53,8 +53,8 @@
 	}
 }
 
-// newManualServer returns a controller without a running event loop: the test passes each event to
-// it. Of the external services, only the state service answers.
+// newManualServer returns a controller whose event loop does not run: the test passes each event to
+// it. Of the external services, only the state service, at stateAddr, answers.
 func newManualServer(t *testing.T, stateAddr string) *Server {
 	t.Helper()
 	settings := &config.Settings{Label: "a"}
@@ -70,7 +70,8 @@
 	return server
 }
 
-// waitForStoreReply returns the event with the next reply of the state service.
+// waitForStoreReply returns the event with the next reply of the state service and drops the events
+// before it.
 func waitForStoreReply(t *testing.T, server *Server) inboxEvent {
 	t.Helper()
 	for timeout := time.After(waitLimit); ; {
--- a/internal/controller/direct.go
+++ b/internal/controller/direct.go
@@ -18,7 +18,7 @@
 	DirectCall struct {
 		ID      uint64
 		Address string
-		Body    wire.Orders
+		Body    wire.DirectOrder
 		Until   time.Duration
 	}
 	// DirectReply is the answer to a DirectCall. Status 0 means no answer. Unsent means that no
@@ -96,7 +96,7 @@
 	machine.DirectInFlight = true
 	c.lastDirectCallID++
 	c.directCalls[c.lastDirectCallID] = call
-	orders := wire.Orders{FencingToken: machine.Term, Incarnation: machine.Incarnation, Commands: commands}
+	orders := wire.DirectOrder{FencingToken: machine.Term, Incarnation: machine.Incarnation, Commands: commands}
 	c.outputs = append(c.outputs, DirectCall{ID: c.lastDirectCallID, Address: machine.Address, Body: orders, Until: c.ownership.AnswerDeadline()})
 }
 
@@ -214,7 +214,7 @@
 	c.probesInFlight++
 	c.lastDirectCallID++
 	c.directCalls[c.lastDirectCallID] = &directCall{machine: machine.ID, incarnation: incarnation, term: term, probe: true}
-	c.outputs = append(c.outputs, DirectCall{ID: c.lastDirectCallID, Address: machine.Address, Body: wire.Orders{FencingToken: term, Incarnation: incarnation, Commands: commands}, Until: c.ownership.AnswerDeadline()})
+	c.outputs = append(c.outputs, DirectCall{ID: c.lastDirectCallID, Address: machine.Address, Body: wire.DirectOrder{FencingToken: term, Incarnation: incarnation, Commands: commands}, Until: c.ownership.AnswerDeadline()})
 }
 
 // handleProbeReply processes the outcome of a probe.
--- a/internal/controller/fences.go
+++ b/internal/controller/fences.go
@@ -68,7 +68,7 @@
 	}
 	c.lastDirectCallID++
 	c.directCalls[c.lastDirectCallID] = call
-	orders := wire.Orders{FencingToken: call.term, Incarnation: call.incarnation, Commands: []wire.Command{}}
+	orders := wire.DirectOrder{FencingToken: call.term, Incarnation: call.incarnation, Commands: []wire.Command{}}
 	c.outputs = append(c.outputs, DirectCall{ID: c.lastDirectCallID, Address: machine.Address, Body: orders, Until: c.ownership.AnswerDeadline()})
 }
 
--- a/internal/controller/malformed_resubmission_test.go
+++ b/internal/controller/malformed_resubmission_test.go
@@ -6,9 +6,9 @@
 )
 
 // TestMalformedResubmissionIsLookedUp resubmits a job without a required field, which an earlier version
-// accepted. A controller that was just replaced, or that no longer keeps the finished job in memory,
-// cannot tell that the job was accepted. If it returned 400 without a lookup in the state service, the
-// user would conclude that the accepted job was rejected.
+// accepted. A controller that was just restarted, or that no longer keeps the finished job in memory, can
+// find out only from the state service that the job was accepted. If the controller returned 400 without a
+// lookup there, the user would conclude that the accepted job was rejected.
 func TestMalformedResubmissionIsLookedUp(t *testing.T) {
 	core := newTestCore(t)
 	job := batchSpec("red", 1, 1, 1)
--- a/internal/controller/resources_test.go
+++ b/internal/controller/resources_test.go
@@ -17,8 +17,8 @@
 )
 
 // TestNearBudgetWarnsOnce checks that a controller logs one warning when its heap or its connections come
-// near their budget, and warns again only after the usage was lower. Every check near the budget is
-// counted. Without this, a budget is used up unnoticed, or every check logs a warning.
+// near their budget, and warns again only if the usage has been lower in between. Every check near the
+// budget is counted. Otherwise a budget could be used up unnoticed, or every check could log a warning.
 func TestNearBudgetWarnsOnce(t *testing.T) {
 	var out bytes.Buffer
 	log := slog.New(slog.NewTextHandler(&out, &slog.HandlerOptions{Level: slog.LevelWarn}))
