--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -21,8 +21,8 @@
 	return code, out.String(), errOut.String()
 }
 
-// TestUsageErrorsExitWithCodeTwo checks that an error in the settings or the command line leads to exit code
-// 2 and one line of error output, which names an invalid setting.
+// TestUsageErrorsExitWithCodeTwo checks that an error in the settings or on the command line leads to exit
+// code 2 and one line of error output. If a setting is missing or invalid, the line must name the setting.
 func TestUsageErrorsExitWithCodeTwo(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "s.json")
 	if err := os.WriteFile(file, []byte(`{"label":"a"}`), 0o600); err != nil {
--- a/internal/controller/direct_launches_test.go
+++ b/internal/controller/direct_launches_test.go
@@ -10,8 +10,9 @@
 
 // TestLaunchesBeyondTheLimitAreSentInTurn starts a job on up to three times as many machines as may
 // receive direct orders concurrently. Nearly all tasks must be on their machines within 5 s, and
-// the limit on concurrent direct orders must be reached but never exceeded. Otherwise launches
-// beyond the limit would wait for the machines' next heartbeats, seconds later.
+// the limit on concurrent direct orders must be reached but never exceeded. If launches beyond the
+// limit were not sent as soon as earlier orders are answered, they would wait for the machines'
+// next heartbeats, seconds later.
 func TestLaunchesBeyondTheLimitAreSentInTurn(t *testing.T) {
 	const machines = 3 * limits.MaxDirectOrdersInFlight
 	cfg := standardConfig()
@@ -51,8 +52,8 @@
 }
 
 // TestUnsentOrderIsNotRepeatedAtOnce checks that a direct order that could not be sent or got no
-// answer is not followed by another one before the worker's next heartbeat. Otherwise, a worker that
-// refuses connections would be called in a loop without a pause.
+// answer is not followed by another one before the worker's next heartbeat. If an order were
+// repeated at once, a worker that refuses connections would be called in a loop without a pause.
 func TestUnsentOrderIsNotRepeatedAtOnce(t *testing.T) {
 	for name, reply := range map[string]DirectReply{
 		"unsent":     {Unsent: true},
--- a/internal/controller/malformed_resubmission_test.go
+++ b/internal/controller/malformed_resubmission_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// TestMalformedResubmissionIsLookedUp resubmits a job without a required field, which an earlier version
-// accepted. A controller that was just restarted, or that no longer keeps the finished job in memory, can
-// find out only from the state service that the job was accepted. If the controller returned 400 without a
-// lookup there, the user would conclude that the accepted job was rejected.
+// TestMalformedResubmissionIsLookedUp resubmits a job that an earlier version accepted although a field is
+// missing that is now required. A controller that was just restarted, or that no longer keeps the finished
+// job in memory, can find out only from the state service that the job was accepted. If the controller
+// returned 400 without a lookup there, the user would conclude that the accepted job was rejected.
 func TestMalformedResubmissionIsLookedUp(t *testing.T) {
 	core := newTestCore(t)
 	job := batchSpec("red", 1, 1, 1)
--- a/internal/controller/process_links_test.go
+++ b/internal/controller/process_links_test.go
@@ -46,8 +46,8 @@
 	}))
 }
 
-// serveWorker serves the address at which a worker receives direct orders from all controllers, and returns
-// it. An order may be executed late and unanswered, or a second time later.
+// serveWorker starts the server at which a worker receives direct orders from all controllers, and returns
+// its address. An order may be executed late and unanswered, or a second time later.
 func (live *liveSimulation) serveWorker(t testing.TB, machine *simMachine) string {
 	return serveOnLoopback(t, live.linkedHandler("orders", machine.id, func(_, _ string, body []byte, answer func(int, []byte)) {
 		sim := live.sim
--- a/internal/controller/recall_test.go
+++ b/internal/controller/recall_test.go
@@ -6,9 +6,9 @@
 )
 
 // TestRecalledMachineFreesItsTasksEarly announces that the cloud will take a spot machine away.
-// Tasks that cannot finish by then must restart elsewhere at once, and the other tasks of the
-// machine when the announced time is over. Otherwise the tasks would wait until the owner deletes
-// the machine for its missed heartbeats.
+// Tasks that cannot finish before that time must restart elsewhere at once, and the other tasks of
+// the machine when the announced time is over. Without the announcement, the tasks wait until the
+// owner deletes the machine for its missed heartbeats.
 func TestRecalledMachineFreesItsTasksEarly(t *testing.T) {
 	simulate := func(seed uint64, estimate float64, injectFault func(*Core)) (freedAfter, goneAfter time.Duration) {
 		sim := newSimulation(seed, standardConfig())
--- a/internal/controller/resources_test.go
+++ b/internal/controller/resources_test.go
@@ -16,9 +16,10 @@
 	"umberpaddle/internal/wire"
 )
 
-// TestNearBudgetWarnsOnce checks that a controller logs one warning when its heap or its connections come
-// near their budget, and warns again only if the usage has been lower in between. Every check near the
-// budget is counted. Otherwise a budget could be used up unnoticed, or every check could log a warning.
+// TestNearBudgetWarnsOnce checks that a controller logs a warning when its heap or its connections come
+// near their budget, and logs another warning only after the usage has dropped and risen again. Every
+// check near the budget must be counted. Without a warning, a budget could be used up unnoticed, and a
+// warning at every check would flood the log.
 func TestNearBudgetWarnsOnce(t *testing.T) {
 	var out bytes.Buffer
 	log := slog.New(slog.NewTextHandler(&out, &slog.HandlerOptions{Level: slog.LevelWarn}))
